--- a/cairnvane/admission/__init__.py
+++ b/cairnvane/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control: the decision module and its parts. Performs no I/O, reads no clock, starts no thread."""
+"""Admission control and scheduling: pure decision logic without I/O, clock access or threads."""
--- a/cairnvane/admission/aimd.py
+++ b/cairnvane/admission/aimd.py
@@ -9,15 +9,15 @@
 
 
 class AdmissionProbability:
-    """The paper's rule: the probability moves with the queue, and a request is admitted with it."""
+    """The admission probability of the paper, and the random decision that it drives."""
 
     def __init__(self, seed: int) -> None:
         self.probability = 1.0
         self._random = random.Random(seed)
-        self._recent_weights = DecayedCounts(parameters.WEIGHT_MIX_ARRIVALS)
+        self._recent_weights = DecayedCounts(parameters.WEIGHT_MIX_SAMPLES)
 
     def update(self, queued: int, high_threshold: float) -> None:
-        """Move the probability at an arrival that finds so many others queued (the paper's N and N_high)."""
+        """Update the probability on an arrival; `queued` is the paper's N, `high_threshold` its N_high."""
         if queued > high_threshold:
             reduced = self.probability * parameters.MULTIPLICATIVE_DECREASE
             self.probability = max(parameters.MINIMUM_PROBABILITY, reduced)
@@ -25,8 +25,8 @@
             self.probability = min(1.0, self.probability + parameters.ADDITIVE_INCREASE)
 
     def admits(self, weight: float) -> bool:
-        """Guards against shedding at random: greater weights have the first claim to what is admitted."""
+        """Whether to admit a request; prefers greater weights instead of rejecting regardless of weight."""
         recent = self._recent_weights
         recent.add(weight)
-        admitted = self.probability * sum(recent.counts.values()) - recent.above(weight)
+        admitted = self.probability * sum(recent.counts.values()) - recent.sum_above(weight)
         return self._random.random() * recent.counts[weight] < admitted
--- a/cairnvane/admission/concurrency_limit.py
+++ b/cairnvane/admission/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit: hill climbing on the gradient of throughput."""
+"""The limit on concurrent runs, adjusted by hill climbing on the throughput."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConcurrencyLimit:
-    """How many requests may run at a time."""
+    """The maximum number of requests that run at a time."""
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.limit = settings.cores
@@ -18,19 +18,19 @@
         self._warm_up = WarmUp(settings, now)
         self._direction = -1
         self._previous_rate = 0.0
-        self._was_binding = False  # in this interval: requests were queued at each timer
+        self._limit_was_reached = False  # requests were queued at each timer of this interval
 
     def ceiling(self, now: int) -> float:
-        """Running requests that the cores survive, at the least speed that they may have while warming up."""
+        """Upper bound of the limit: running requests that the cores sustain at their lowest warm-up speed."""
         oversubscription = 1 + (self._settings.max_oversubscription - 1) * self._warm_up.speed(now)
         return max(1.0, parameters.OVERSUBSCRIPTION_SAFETY * oversubscription * self._settings.cores)
 
     def on_timer(self, now: int, gauges: TimerFired, running: int, queued: int) -> None:
-        """Raise the limit while cores idle, and climb at the end of an interval."""
-        self._was_binding &= queued > 0
+        """Raise the limit while cores are idle; at the end of an interval, take a hill climbing step."""
+        self._limit_was_reached &= queued > 0
         ceiling = int(self.ceiling(now))
-        # Runs that wait for a disk leave cores idle. Present demand shows it; the mean busy fraction lags,
-        # and let a mere burst raise the limit to where runs slow each other down.
+        # Runs that wait for a disk leave cores idle. The current demand shows this at once. The mean busy
+        # fraction lags: on its own it let a short burst raise the limit until runs slowed each other down.
         idle = (gauges.runnable or running) < self._settings.cores
         idle = idle and (gauges.cpu_busy or 0.0) < parameters.BUSY_CORES_FRACTION
         if idle and queued and self.limit <= running < ceiling:
@@ -38,13 +38,13 @@
         if self.throughput.finished < parameters.CLIMB_RUNS_PER_CORE * self._settings.cores:
             return
         rate = self.throughput.next_interval(now)
-        if self._was_binding:  # only an interval in which the limit was binding says something about it
+        if self._limit_was_reached:  # otherwise the throughput does not depend on the limit
             self._climb(rate, ceiling)
         self._previous_rate = rate
-        self._was_binding = queued > 0
+        self._limit_was_reached = queued > 0
 
     def _climb(self, rate: float, ceiling: int) -> None:
-        gain = parameters.CLIMB_MINIMUM_GAIN
-        if rate < self._previous_rate * (gain if self._direction > 0 else 1 / gain):
+        minimum_gain = parameters.CLIMB_MINIMUM_THROUGHPUT_GAIN
+        if rate < self._previous_rate * (minimum_gain if self._direction > 0 else 1 / minimum_gain):
             self._direction = -self._direction
         self.limit = max(self._settings.cores, min(self.limit + self._direction, ceiling))
--- a/cairnvane/admission/lifecycle.py
+++ b/cairnvane/admission/lifecycle.py
@@ -1,4 +1,4 @@
-"""Transitions of requests: each changes the tables and records its action. Nothing is decided here."""
+"""State transitions of requests: each updates the tables and records its action, without decisions."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 
 
 class RequestLifecycle:
-    """Carries out what was decided about requests: in the tables at once, by actions at the host."""
+    """Applies decisions to the tables of requests, and records the actions for the host."""
 
     def __init__(self, settings: Settings, now: int) -> None:
         self.now = now
         self.latest_deadline = parameters.NEVER
         self.table = RequestTable(settings.running_memory_factor)
         self.keys = IdempotencyKeys()
-        self.calling_classes: set[str] = set()  # classes that were seen to call
+        self.calling_classes: set[str] = set()  # classes with at least one call so far
         self.actions: list[actions.Action] = []
         self._classes = settings.classes
         self._first_attempts = FirstAttemptAge()
 
     def begin_batch(self, now: int) -> None:
-        """Start a new list of actions, and remove the keys whose time is over."""
+        """Start a new list of actions and remove expired keys."""
         self.now = now
         self.actions = []
         self.keys.expire(now)
 
     def emit(self, action: actions.Action | None) -> None:
-        """Record an action, if there is one."""
+        """Record an action; None is ignored."""
         if action is not None:
             self.actions.append(action)
 
     def track(self, event: Arrival) -> TrackedRequest:
         """Track a request that arrived; it has no state yet.
 
-        The objective counts from the first attempt: guards against work for clients that made it long ago.
+        The latency objective counts from the first attempt, so that no work is spent on a client whose first
+        attempt was long ago.
         """
         request_class = self._classes[event.class_index]
         arrived_at = self.now - event.queue_delay
@@ -54,7 +55,7 @@
             request_class=request_class,
             arrived_at=arrived_at,
             deadline=deadline,
-            objective_at=min(deadline, arrived_at - age + objective),
+            late_after=min(deadline, arrived_at - age + objective),
             weight=request_class.priority_weight,
             memory=event.memory,
             age=age,
@@ -65,7 +66,7 @@
         return request
 
     def adopt(self, event: RunAdopted) -> None:
-        """Track a run of an earlier incarnation: uncounted, it would load the cores, and go on for ever."""
+        """Track a run of an earlier incarnation, to count it as load and cancel it at its deadline."""
         request_class = self._classes[event.class_index]
         deadline = min(self.now + event.time_left, self.latest_deadline)
         request = TrackedRequest(
@@ -73,7 +74,7 @@
             request_class=request_class,
             arrived_at=self.now,
             deadline=deadline,
-            objective_at=deadline,
+            late_after=deadline,
             weight=request_class.priority_weight,
             memory=event.memory,
             may_have_run=True,
@@ -87,12 +88,12 @@
         self.keys.restore(event.count, self.now + event.lifetime)
 
     def limit_deadlines(self, latest: int) -> None:
-        """Bring forward all deadlines, of present and future requests, that are after `latest`."""
+        """Limit the deadlines of all present and future requests to `latest`."""
         self.latest_deadline = latest
         self.table.limit_deadlines(latest)
 
     def await_call(self, event: CallRequested) -> None:
-        """A running request has left the cores, and waits for its call; one that was answered ends there."""
+        """Move a running request to the wait for its call; one that was already answered ends here."""
         request = self.table.by_id.get(event.request_id)
         if request is None or request.state is not RequestState.RUNNING:
             return
@@ -104,11 +105,11 @@
             self.table.move(request, RequestState.AWAITING_CALL)
 
     def enqueue(self, request: TrackedRequest) -> None:
-        """The request waits for a run."""
+        """Add the request to the queue."""
         self.table.move(request, RequestState.QUEUED)
 
     def await_original(self, request: TrackedRequest) -> None:
-        """The request waits for the result of its original."""
+        """Make the request, a duplicate, wait for the result of its original."""
         request.may_have_run = True
         self.table.move(request, RequestState.AWAITING_ORIGINAL)
 
@@ -117,7 +118,7 @@
         self.actions.append(actions.ReplayResult(request.id))
 
     def remember_key(self, request: TrackedRequest, lifetime: int) -> None:
-        """Enter the request's idempotency key."""
+        """Remember the request's idempotency key."""
         self.keys.remember(request.id, self.now + lifetime)
         self.actions.append(actions.RememberKey(request.id, lifetime))
 
@@ -134,35 +135,35 @@
         self.actions.append(actions.MakeCall(request.id, timeout))
 
     def skip_call(self, request: TrackedRequest) -> None:
-        """Continue without the call."""
+        """Continue the request without its call."""
         self.table.move(request, RequestState.RUNNING)
         self.actions.append(actions.SkipCall(request.id))
 
     def await_next_call(self, request: TrackedRequest) -> None:
-        """The request's call failed, and may be made again."""
+        """Make the request wait for another attempt of its failed call."""
         self.table.move(request, RequestState.AWAITING_CALL)
 
     def resume(self, request: TrackedRequest) -> None:
-        """The request continues after its call."""
+        """Continue the request after its call."""
         self.table.move(request, RequestState.RUNNING)
 
     def reject(
         self, request: TrackedRequest, retry_after: int, no_retry: bool, reason: actions.EndReason
     ) -> None:
-        """Answer a request that never ran, which ends it."""
+        """Reject a request that never ran, and remove it."""
         self.actions.append(actions.Reject(request.id, retry_after, no_retry, reason))
         self.remove(request)
 
     def fail(self, request: TrackedRequest, reason: actions.EndReason) -> None:
-        """Answer with an error; the request stays in its state."""
+        """Answer with an error; the request keeps its state."""
         self.actions.append(actions.Fail(request.id, reason))
 
     def cancel(self, request: TrackedRequest) -> None:
-        """Cancel a running request; it stays in its state until its run has ended."""
+        """Cancel a running request; it keeps its state until its run has ended."""
         self.actions.append(actions.Cancel(request.id))
 
     def remove(self, request: TrackedRequest) -> None:
-        """The request has left the instance. The key of one that never ran is free again."""
+        """Remove a request that has ended. If it never ran, its key is forgotten."""
         self.table.remove(request)
         if not request.may_have_run and self.keys.forget(request.id):
             self.actions.append(actions.ForgetKey(request.id))
--- a/cairnvane/admission/load_signal.py
+++ b/cairnvane/admission/load_signal.py
@@ -1,4 +1,4 @@
-"""What clients learn: the load signal with every response, and the health that checks report."""
+"""The load signal that is sent with every response, and the health status for health checks."""
 
 from __future__ import annotations
 
@@ -9,58 +9,58 @@
 
 
 class LoadReports:
-    """Clients that heed the load signal send less before their requests must be read."""
+    """Computes the load signal, which makes clients send less before requests cost reading time."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self.invited_fraction = 1.0  # of the usual load that clients are invited to send
+        self.target_load = 1.0  # fraction of the usual load that clients should send
         self.overloaded = False  # since the last timer
         self.reading_delayed = False  # since the last timer
-        self.reported: float | None = None
+        self.reported_value: float | None = None
 
     def needs_timer(self) -> bool:
-        """Whether the value may change with time."""
-        return self.overloaded or self.reading_delayed or self.invited_fraction < 1 or self.reported is None
+        """Whether a timer is needed because the load signal may change with time."""
+        return self.overloaded or self.reading_delayed or self.target_load < 1 or self.reported_value is None
 
     def on_timer(self, cores_full: bool, draining: bool) -> ReportLoad | None:
-        """Move the invited fraction by AIMD; a changed value is to be reported."""
-        # Reading on cores that are not full is only slow: clients that held back would leave them idle.
+        """Adjust the target load by AIMD; the report to send if the load signal changed."""
+        # A read delay on cores that are not full means slow reading: less load would only leave cores idle.
         if self.overloaded or (self.reading_delayed and cores_full):
-            reduced = self.invited_fraction * parameters.LOAD_SIGNAL_DECREASE
-            self.invited_fraction = max(parameters.LOAD_SIGNAL_MINIMUM, reduced)
+            reduced = self.target_load * parameters.LOAD_SIGNAL_DECREASE
+            self.target_load = max(parameters.LOAD_SIGNAL_MINIMUM, reduced)
         else:
-            self.invited_fraction = min(1.0, self.invited_fraction + parameters.LOAD_SIGNAL_INCREASE)
+            self.target_load = min(1.0, self.target_load + parameters.LOAD_SIGNAL_INCREASE)
         self.overloaded = False
         self.reading_delayed = False
         return self.report(draining)
 
     def report(self, draining: bool) -> ReportLoad | None:
-        """The value to send from now on, if it has changed."""
-        value = self._value(draining)
-        changed = value != self.reported
-        self.reported = value
+        """The report of the load signal if it changed since the last one."""
+        value = self._signal_value(draining)
+        changed = value != self.reported_value
+        self.reported_value = value
         return ReportLoad(value) if changed and self._settings.load_signal is not LoadSignal.NONE else None
 
-    def _value(self, draining: bool) -> float:
+    def _signal_value(self, draining: bool) -> float:
         settings = self._settings
-        invited = 0.0 if draining else self.invited_fraction
+        target_load = 0.0 if draining else self.target_load
         if settings.load_signal is LoadSignal.NONE:
             return 0.0
         if settings.load_signal is LoadSignal.WEIGHT:
-            return invited
+            return target_load
         if settings.load_signal is LoadSignal.LEVEL:
-            # Ranks fall into equal bands by class. But for a drain, the greatest weight is always invited.
-            return 1.0 if draining else (1 - invited) * (1 - 1 / len(settings.classes))
-        # While all are invited the credit binds nobody: one client may carry much of the traffic.
-        clients = settings.clients if invited < 1 else 1
-        return invited * parameters.CREDITS_PER_CORE * settings.cores / max(1, clients)
+            # Each class has an equal band of ranks. The class of greatest weight is excluded only in a drain.
+            return 1.0 if draining else (1 - target_load) * (1 - 1 / len(settings.classes))
+        # At full target load a client gets the credit of all: one client may send much of the traffic.
+        clients = settings.clients if target_load < 1 else 1
+        return target_load * parameters.CREDITS_PER_CORE * settings.cores / max(1, clients)
 
 
 class Health:
-    """Guards against quick failures, which free this instance for more requests.
+    """Reports bad health while runs fail, since an instance with quick failures would attract more requests.
 
-    Clients that heed health checks are sent elsewhere, and return as the failure rate decays. It does harm if
-    all instances fail at once for a shared cause.
+    Clients that use health checks go to other instances, and return as the failure rate decays. This does
+    harm if all instances fail at once for a shared cause.
     """
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self._healthy = True
 
     def needs_timer(self) -> bool:
-        """Whether the reported health may change with time."""
+        """Whether a timer is needed because the health may change with time."""
         return not self._healthy or self.failure_rate.value >= parameters.UNHEALTHY_FAILURE_RATE
 
     def start_drain(self) -> SetHealth:
@@ -77,7 +77,7 @@
         return SetHealth(False, True)
 
     def on_timer(self, draining: bool) -> SetHealth | None:
-        """Let the failure rate decay; a changed health is to be reported."""
+        """Decay the failure rate; the action that reports the health if it changed."""
         self.failure_rate.decay()
         limit = parameters.UNHEALTHY_FAILURE_RATE
         healthy = self.failure_rate.value < (limit if self._healthy else limit / 2) and not draining
--- a/cairnvane/admission/tenant_quota.py
+++ b/cairnvane/admission/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: one token bucket per tenant, filled with this instance's part of its quota."""
+"""Tenant quotas: one token bucket per tenant, filled at this instance's share of the quota."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class TenantQuotas:
-    """Guards against one tenant displacing the rest: only what is beyond its quota counts for less."""
+    """Prevents one tenant from displacing the others: requests over its quota get a reduced weight."""
 
     def __init__(self, settings: Settings, now: int) -> None:
         self._greatest_weight = max(c.priority_weight for c in settings.classes) or 1.0
         rates = [1e-6 * tenant.quota / settings.replicas for tenant in settings.tenants]
-        self._buckets = [TokenBucket(rate, parameters.TENANT_BURST_TIME, now) for rate in rates]
+        self._buckets = [TokenBucket(rate, parameters.TENANT_BURST_TIME_US, now) for rate in rates]
 
     def is_within(self, tenant: int, priority_weight: float, now: int) -> bool:
-        """Whether the tenant has tokens left; the last half is kept for its requests of greatest weight."""
-        return self.take(tenant, 0, now) > (1 - priority_weight / self._greatest_weight) / 2
+        """Whether the tenant has tokens left; up to half of them are reserved for requests of more weight."""
+        return self.consume(tenant, 0, now) > (1 - priority_weight / self._greatest_weight) / 2
 
-    def take(self, tenant: int | None, tokens: int, now: int) -> float:
-        """The fraction of the tenant's bucket that is left after taking these tokens; 1 without a tenant."""
+    def consume(self, tenant: int | None, tokens: int, now: int) -> float:
+        """Remove tokens and return the fraction of the tenant's bucket that is left; 1 without a tenant."""
         if tenant is None or tenant >= len(self._buckets):
             return 1.0
-        return self._buckets[tenant].take(tokens, now)
+        return self._buckets[tenant].consume(tokens, now)
--- a/cairnvane/admission/unaccounted_load.py
+++ b/cairnvane/admission/unaccounted_load.py
@@ -1,7 +1,7 @@
-"""Runs that the machine carries beyond those that this instance knows of, as far as the gauges show them.
+"""Detects runs on the machine that this instance does not track, by the gauge of runnable tasks.
 
-A guard that does not depend on the cause: whatever leaves runs on the cores that no table here has, they show
-in the gauges of the next timer, and take up room under the ceiling like those that are known.
+This protects the cores whatever the cause of such runs: they show in the gauges of the next timer, and count
+against the ceiling like tracked runs.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 
 
 class UnaccountedLoad:
-    """How many runs are on the machine and in no table, by the last gauges."""
+    """The number of untracked runs according to the last gauges."""
 
     def __init__(self, settings: Settings) -> None:
         self.runs = 0.0
         self._cores = settings.cores
-        self._is_excessive = False  # and has been logged
+        self._is_excessive = False  # and was logged
 
     def on_timer(self, gauges: TimerFired, running: int) -> LogMessage | None:
-        """Compare the gauges with the requests that run; None if there is nothing to log.
+        """Compare the gauges with the number of tracked runs; returns a log message if the state changed.
 
-        What is read wants a core too, one request a core at a time: so much is no sign of unknown runs.
-        Without the gauge nothing is known, and nothing changes.
+        Reading requests also needs cores, at most one request per core at a time, so an excess of up to one
+        per core is ignored. Without the gauge nothing changes.
         """
         if gauges.runnable is None:
             return None
         excess = gauges.runnable - running
         self.runs = excess if excess > self._cores else 0.0
         was_excessive = self._is_excessive
-        limit = parameters.UNACCOUNTED_RUNS_LOGGED_PER_CORE * self._cores
+        limit = parameters.UNACCOUNTED_RUNS_LOG_THRESHOLD_PER_CORE * self._cores
         self._is_excessive = self.runs > (0.0 if was_excessive else limit)
         if self._is_excessive is was_excessive:
             return None
-        change = "more runs than are known" if self._is_excessive else "the runs that are known again"
-        return LogMessage(f"machine carries {change}: runnable={gauges.runnable:g} running={running}")
+        change = "more runs than are tracked" if self._is_excessive else "no untracked runs any more"
+        return LogMessage(f"the machine has {change}: runnable={gauges.runnable:g} running={running}")
--- a/tests/admission/test_controller_dependency.py
+++ b/tests/admission/test_controller_dependency.py
@@ -108,7 +108,7 @@
         host.now += 20 * MS
         rejected += actions_of(host.send(), Reject)
     assert [(reject.request_id, reject.no_retry) for reject in rejected] == [(200, True)]
-    assert host.controller.load_reports.invited_fraction == 1.0
+    assert host.controller.load_reports.target_load == 1.0
 
 
 def test_delays_that_may_be_the_instances_own_reduce_no_limit() -> None:
--- a/tests/admission/test_controller_reports.py
+++ b/tests/admission/test_controller_reports.py
@@ -128,7 +128,7 @@
     """Guards against each event after a timer's time replacing it: no timer counted for seconds."""
     controller = Controller(settings(), 1, 0)
     controller.handle(0, [Arrival(1, IDEMPOTENT)])
-    at = controller.timer_at
+    at = controller.timer_due_at
     for late in (1, 2):  # due, but its gauges are still on their way
         assert not actions_of(controller.handle(at + late * MS, [Arrival(1 + late, IDEMPOTENT)]), SetTimer)
     (timer,) = actions_of(controller.handle(at + 3 * MS, [TimerFired(0, cpu_busy=0.5, runnable=3)]), SetTimer)
--- a/tests/admission/test_controller_scheduling.py
+++ b/tests/admission/test_controller_scheduling.py
@@ -51,7 +51,7 @@
         host.requests[request_id].place, host.requests[request_id].answered = Place.ENDED, True
     host.now = 400 * MS
     host.send(*(RunFinished(request_id, Outcome.OK, 400 * MS) for request_id in range(1, 5)))
-    host.controller.load_reports.invited_fraction = 0.9
+    host.controller.load_reports.target_load = 0.9
     # With a core free an estimate is not trusted.
     assert actions_of(arrive(host, 8, queue_delay=700 * MS), StartRun)
     host.controller.concurrency.limit = 8
@@ -127,7 +127,7 @@
     host = start_host(classes=(CLASSES[IDEMPOTENT],))
     occupy_cores(host, 1, first=100)
     host.send(Arrival(1, IDEMPOTENT, memory=10.0, time_left=1_500 * MS))
-    host.controller.load_reports.invited_fraction = 0.9  # there was overload
+    host.controller.load_reports.target_load = 0.9  # there was overload
     actions = arrive(host, 2, time_left=time_left * MS, is_retry=is_retry)
     assert bool(actions_of(actions, StartRun)) is runs
     assert bool(actions_of(actions, Reject)) is not runs
