--- a/cairnvane/__init__.py
+++ b/cairnvane/__init__.py
@@ -1,6 +1,6 @@
-"""cairnvane: admission and scheduling for servers behind balancers that nobody here controls.
+"""cairnvane: admission control and scheduling for servers behind third-party balancers.
 
-`Controller` decides; `cairnvane.contract` holds all that passes between it and its host.
+`Controller` makes the decisions; `cairnvane.contract` defines the interface between it and its host.
 """
 
 from .admission.controller import Controller
--- a/cairnvane/clock.py
+++ b/cairnvane/clock.py
@@ -1,4 +1,4 @@
-"""The two clocks: a monotonic one for all decisions, and Unix time only to read what peers stamp with it."""
+"""The monotonic clock, used for all decisions, and conversion of Unix time stamps from peers to it."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class PlacedStamp(NamedTuple):
-    """A Unix time stamp on the monotonic clock, in microseconds."""
+    """A Unix time stamp converted to the monotonic clock, in microseconds."""
 
     at: int  # never later than now
-    ahead: int  # how far the stamp lies in the future; 0: it does not
+    ahead: int  # how far the time stamp lies in the future, else 0
 
 
 def now() -> int:
-    """Microseconds of the monotonic clock."""
+    """The current time of the monotonic clock, in microseconds."""
     return time.monotonic_ns() // NANOSECONDS_PER_MICROSECOND
 
 
 def to_monotonic(unix_ms: int) -> PlacedStamp:
-    """Place a Unix time stamp on the monotonic clock; one from the future counts as now."""
+    """Convert a Unix time stamp to the monotonic clock; a time in the future counts as now."""
     unix_now = time.time_ns() // NANOSECONDS_PER_MICROSECOND
     ahead = unix_ms * MICROSECONDS_PER_MILLISECOND - unix_now
     return PlacedStamp(now() + min(0, ahead), max(0, ahead))
 
 
 def boot_id() -> str | None:
-    """The id of the machine's present boot, 32 hexadecimal digits; None where the system does not tell.
+    """The id of the machine's current boot, 32 hexadecimal digits; None if the system does not provide it.
 
-    Times of the monotonic clock are comparable within one boot only.
+    Times of the monotonic clock are comparable only within one boot.
     """
     try:
         boot_id = _BOOT_ID_FILE.read_text().strip().replace("-", "")
--- a/cairnvane/contract/__init__.py
+++ b/cairnvane/contract/__init__.py
@@ -1,19 +1,18 @@
 """The contract between the decision module and the process that hosts it.
 
-`settings` describes what an instance is configured with, `events` what the host reports, and `actions` what
-the controller asks the host to do. The host owes the controller:
+`settings` defines the configuration of an instance, `events` what the host reports, and `actions` what the
+controller asks the host to do. The host must provide:
 
 * one `Controller` per incarnation of an instance, created at its start from `Settings`, a random seed and the
   current time; a restart creates a new one, and no state is carried over;
 * calls of `handle(now, events)` from a single thread, with events in the order in which they happened, as
-  soon as they happened (events of the same moment may share a call) and whenever a `SetTimer` is due;
-* a monotonic clock in integer microseconds (a step backwards is treated as no time having passed);
-* every action carried out, in the order given, before the next call.
+  soon as possible (simultaneous events may share a call), and whenever a `SetTimer` is due;
+* a monotonic clock in integer microseconds (a step backwards counts as no time having passed);
+* the execution of every action, in the order given, before the next call.
 
-The host may rely on this: `handle` performs no I/O, starts no thread, reads no clock, keeps no reference to
-the lists passed in, and returns the same actions for the same settings, seed and events. An event about a
-request that has ended or was never announced changes nothing. A request for which no action is returned stays
-queued.
+In return, `handle` performs no I/O, starts no thread, reads no clock, keeps no reference to the lists passed
+in, and returns the same actions for the same settings, seed and events. An event for a request that has ended
+or was never reported has no effect. A request for which no action is returned stays queued.
 
 All times and durations are integer microseconds; memory is in kilobytes.
 """
--- a/cairnvane/contract/actions.py
+++ b/cairnvane/contract/actions.py
@@ -7,18 +7,18 @@
 
 
 class EndReason(Enum):
-    """Why a request was rejected or failed without the end of a run. The values are names of metrics."""
+    """Why a request was rejected or failed other than by the end of its run. The values label metrics."""
 
     UNSPECIFIED = "unspecified"
-    STORAGE = "storage"  # the start of a keyed run can't be recorded now
-    DRAINING = "draining"  # it arrived after the grace of the graceful shutdown
-    DEADLINE = "deadline"  # its client waits no longer, or all but
-    MEMORY = "memory"  # there is none for its run
-    ADMISSION = "admission"  # by the admission probability
-    LATE = "late"  # its answer would come after its objective, and earn nothing
-    CAPACITY = "capacity"  # late, and there is no place to run it at once
-    DEPENDENCY = "dependency"  # its call would wait too long, or can't be made
-    ORIGINAL_MEMORY = "original_memory"  # a duplicate, and there is no memory to hold it
+    STORAGE = "storage"  # the idempotency key can't be stored now
+    DRAINING = "draining"  # it arrived after the drain grace
+    DEADLINE = "deadline"  # its deadline has passed or is about to
+    MEMORY = "memory"  # not enough memory for its run
+    ADMISSION = "admission"  # rejected by the admission probability
+    LATE = "late"  # its answer would miss the objective and earn nothing
+    CAPACITY = "capacity"  # late, and it can't run at once
+    DEPENDENCY = "dependency"  # its call would wait too long or can't be made
+    ORIGINAL_MEMORY = "original_memory"  # a duplicate, and there is no memory for it to wait
     RUN_CANCELLED = "run_cancelled"  # its run ended without a result
 
 
@@ -31,17 +31,17 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected, with the promise that this attempt never ran."""
+    """Final response: a rejection, which guarantees that this attempt never ran."""
 
     request_id: int
-    retry_after: int = 0  # the client is advised to avoid this instance for so long
+    retry_after: int = 0  # for how long the client should avoid this instance
     no_retry: bool = False  # the client is asked not to retry elsewhere
     reason: EndReason = field(default=EndReason.UNSPECIFIED, compare=False)  # for logs and metrics alone
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: an error, without any promise."""
+    """Final response: an error. The attempt may or may not have run."""
 
     request_id: int
     reason: EndReason = field(default=EndReason.UNSPECIFIED, compare=False)  # for logs and metrics alone
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class MakeCall:
-    """Make the call that a request waits for, and abandon it after `timeout`."""
+    """Make the call that a request waits for; abandon it after `timeout`."""
 
     request_id: int
     timeout: int
@@ -64,14 +64,14 @@
 
 @dataclass(slots=True)
 class SkipCall:
-    """Continue without the call, for a degraded response."""
+    """Continue the request without its call, which gives a degraded response."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class RememberKey:
-    """Enter the request's idempotency key in the table for `lifetime`, so that duplicates are recognised."""
+    """Remember the request's idempotency key for `lifetime`, so that duplicates are recognised."""
 
     request_id: int
     lifetime: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class ForgetKey:
-    """Remove the request's idempotency key from the table."""
+    """Remove the request's idempotency key from the remembered ones."""
 
     request_id: int
 
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class SetHealth:
-    """Answer health checks accordingly from now on; `cached`: without doing real work."""
+    """Answer health checks with this status from now on; if `cached`, without doing real work."""
 
     healthy: bool
     cached: bool
@@ -101,21 +101,21 @@
 
 @dataclass(slots=True)
 class ReportLoad:
-    """Send this value with every response from now on; `Settings.load_signal` tells how clients read it."""
+    """Send this value with every response from now on; `Settings.load_signal` defines its meaning."""
 
     value: float
 
 
 @dataclass(slots=True)
 class CloseIdleConnections:
-    """Close connections that were idle for `idle_time`; 0: as late as allowed."""
+    """Close connections that were idle for `idle_time`; 0 keeps them as long as allowed."""
 
     idle_time: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at or soon after `due_at`."""
+    """Request a `TimerFired` event at or soon after `due_at`."""
 
     due_at: int
     token: int = 0
--- a/cairnvane/contract/events.py
+++ b/cairnvane/contract/events.py
@@ -7,7 +7,7 @@
 
 
 class Outcome(Enum):
-    """How a run or a call ended. The last three prove that nothing was executed."""
+    """How a run or a call ended. The last three guarantee that nothing was executed."""
 
     OK = "ok"
     ERROR = "error"
@@ -20,29 +20,29 @@
 
 
 UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.UNREACHED, Outcome.NEVER_STARTED)
-"""The outcomes which prove that nothing was executed."""
+"""The outcomes that guarantee that nothing was executed."""
 
 
 @dataclass(slots=True)
 class Arrival:
-    """A request was read; it stays queued until an action says otherwise, and is owed one final response."""
+    """A request was read. It is queued until an action changes that, and needs one final response."""
 
     request_id: int
     class_index: int  # index in `Settings.classes`
     queue_delay: int = 0  # time since it reached the machine
-    time_left: int | None = None  # until its client gives up; None: the timeout of its class applies
+    time_left: int | None = None  # until its client gives up; None: use the client timeout of its class
     memory: float = 0.0  # memory while queued
-    cost: int | None = None  # estimated work, if known
+    cost: int | None = None  # estimated work; None if unknown
     client: int = 0
     tenant: int = 0  # index in `Settings.tenants`; an index out of range means none
-    is_retry: bool = False  # a retry or a hedged request, where clients mark these
-    duplicate_of: int | None = None  # the remembered request of which this is a duplicate
-    storage_delay: int = 0  # keyed: its key can be stored only after so long; 0: now
+    is_retry: bool = False  # a retry or a hedged request, if clients mark these
+    duplicate_of: int | None = None  # the remembered request that this duplicates
+    storage_delay: int = 0  # keyed: time until its key can be stored; 0: at once
 
 
 @dataclass(slots=True)
 class KeysRestored:
-    """Idempotency keys of an earlier incarnation are remembered, and occupy memory for `lifetime`."""
+    """Idempotency keys of an earlier incarnation were restored, and occupy memory for `lifetime`."""
 
     count: int
     lifetime: int
@@ -52,7 +52,8 @@
 class RunAdopted:
     """A keyed run of an earlier incarnation continues, with its key remembered for `lifetime`.
 
-    Only duplicates wait for it. It is cancelled after `time_left`, like a run whose client gives up.
+    No client waits for it except those of duplicates. After `time_left` it is cancelled, like a run whose
+    client gives up.
     """
 
     request_id: int
@@ -64,9 +65,9 @@
 
 @dataclass(slots=True)
 class RunFinished:
-    """A `StartRun` or `ReplayResult` ended.
+    """A run or a replay of a result ended.
 
-    With OK or ERROR the client has been answered, unless a response was sent before.
+    With OK or ERROR the host has answered the client, unless a response was sent before.
     """
 
     request_id: int
@@ -76,21 +77,21 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client no longer waits: no response is owed."""
+    """The client disconnected: no response is needed."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CallRequested:
-    """A running request has left the cores and waits for `MakeCall`, `SkipCall` or `Fail`."""
+    """A running request has reached a call, and waits off the cores for `MakeCall`, `SkipCall` or `Fail`."""
 
     request_id: int
 
 
 @dataclass(slots=True)
 class CallFinished:
-    """A call ended. After OK the request continues by itself; else it waits as after `CallRequested`."""
+    """A call ended. With OK the request continues by itself, else it waits as after `CallRequested`."""
 
     request_id: int
     outcome: Outcome
@@ -106,11 +107,11 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A `SetTimer` is due. Gauges that the host cannot read stay None."""
+    """A requested timer is due. Gauges that the host can't read are None."""
 
     token: int
     cpu_busy: float | None = None  # fraction of the cores that were busy recently
-    runnable: float | None = None  # present demand for cores
+    runnable: float | None = None  # current demand for cores, as a number of tasks
     memory_used: float | None = None  # fraction of memory in use
     connections: float | None = None
 
--- a/cairnvane/contract/settings.py
+++ b/cairnvane/contract/settings.py
@@ -19,24 +19,24 @@
 
 
 class CancelMode(Enum):
-    """What cancelling running work does."""
+    """What cancelling a run does."""
 
-    NONE = "none"  # it cannot be cancelled
+    NONE = "none"  # a run can't be cancelled
     DISCARD = "discard"  # the work done is lost
-    PAUSE = "pause"  # it can be resumed, and keeps its memory
+    PAUSE = "pause"  # the run can be resumed, and keeps its memory
 
 
 class LoadSignal(Enum):
     """How clients interpret the value that is sent with every response (`ReportLoad`)."""
 
     NONE = "none"
-    LEVEL = "level"  # they send nothing of a lower rank
-    CREDIT = "credit"  # each has at most so many requests outstanding here
-    WEIGHT = "weight"  # the probability, 0 to 1, that they do not skip this instance
+    LEVEL = "level"  # they send no request of a lower rank
+    CREDIT = "credit"  # the maximum number of requests that each has outstanding here
+    WEIGHT = "weight"  # the probability, 0 to 1, that they choose this instance when its turn comes
 
 
 class DependencyKind(Enum):
-    """What requests call while they run."""
+    """The kind of dependency that requests call while they run."""
 
     NONE = "none"
     SHARED = "shared"  # one dependency below all instances
@@ -62,7 +62,7 @@
 
 
 def _require_number(name: str, value: object, minimum: float = 0, exclusive: bool = False) -> None:
-    """The value is a finite number of at least `minimum`, or above it if `exclusive`."""
+    """Require a finite number of at least `minimum`, or greater if `exclusive`."""
     is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
     _require(is_number and minimum <= value < float("inf"), name, value)  # type: ignore[operator]
     _require(not (exclusive and value == minimum), name, value)
@@ -80,7 +80,7 @@
     retry_semantics: RetrySemantics = RetrySemantics.IDEMPOTENT
     retry_window: int = 0  # keyed: how long after its arrival a request may be retried
     degraded_fraction: float = 0.0  # the fraction earned without the dependency's call; 0: it is required
-    objective_per_cost: float = 0.0  # the objective grows by this multiple of a request's own work
+    objective_per_cost: float = 0.0  # added to the objective: this multiple of the request's estimated work
 
     def __post_init__(self) -> None:
         place = f"classes[{self.name}]"
@@ -103,7 +103,7 @@
     """One of the groups of clients that share the service."""
 
     name: str
-    quota: float  # requests per second over all instances
+    quota: float  # requests per second, summed over all instances
 
     def __post_init__(self) -> None:
         _require_number(f"tenants[{self.name}].quota", self.quota)
@@ -118,22 +118,22 @@
     classes: tuple[RequestClass, ...] = ()
     tenants: tuple[Tenant, ...] = ()
     over_quota_fraction: float = 1.0  # the fraction of the weight that a request beyond its quota earns
-    replicas: int = 1  # instances of the service at this start, this one included
-    running_memory_factor: float = 1.0  # memory of a running or paused request over that of a queued one
+    replicas: int = 1  # instances of the service when this one starts, itself included
+    running_memory_factor: float = 1.0  # memory of a running or paused request relative to a queued one
     key_memory: float = 0.0  # memory of one remembered idempotency key
     cancel_mode: CancelMode = CancelMode.NONE
     load_signal: LoadSignal = LoadSignal.NONE
     dependency: DependencyKind = DependencyKind.NONE
-    dependency_quota: float = 0.0  # shared: this instance's part of the calls that the dependency survives
+    dependency_quota: float = 0.0  # shared: this instance's share of the calls that it can handle
     dependency_window: int = 1_000_000  # the interval over which calls in flight are averaged
-    abandoned_call_time: int = 0  # how long an abandoned call may still occupy the dependency
-    clients: int = 1  # clients at this start
-    cold_start: bool = False  # the instance has only just started
+    abandoned_call_time: int = 0  # how long an abandoned call may go on occupying the dependency
+    clients: int = 1  # number of clients when this instance starts
+    cold_start: bool = False  # the instance starts cold
     cold_speed: float = 1.0  # a cold instance starts with at least this fraction of its speed
-    warmup_time: int = 0  # and has warmed up after this long at most
-    max_oversubscription: float = 2.0  # running requests per core that a warm instance survives
+    warmup_time: int = 0  # the longest time until it is warm
+    max_oversubscription: float = 2.0  # running requests per core that a warm instance can sustain
     drain_grace: int = 0  # requests that arrive later than this after the shutdown notice must not run
-    max_retry_after: int = 0  # the longest retry-after that clients honour; 0: they honour none
+    max_retry_after: int = 0  # the longest retry-after that clients honour; 0: they ignore it
     min_round_interval: int = 1_000  # the least time between two calls of `handle`
 
     def __post_init__(self) -> None:
--- a/cairnvane/exchange.py
+++ b/cairnvane/exchange.py
@@ -1,7 +1,7 @@
-"""Requests, health checks and responses: the interface between a front protocol and the server behind it.
+"""Requests, health checks and responses: the interface between a protocol front end and the server.
 
-A front (`net.server`, which speaks FastCGI) turns what it reads into a `Request` or a `HealthCheck` and hands
-it to a `RequestSink`. Whoever holds it ends it with `respond`; the front's `deliver` writes the response.
+A front end (`net.server`, which implements FastCGI) passes each `Request` or `HealthCheck` that it reads to a
+`RequestSink`. The server ends it with `respond`; the front end's `deliver` callback writes the response.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class ResponseStatus(Enum):
-    """What became of the attempt."""
+    """How an attempt ended."""
 
     SERVED = "served"
-    REJECTED = "refused"  # with the promise that this attempt never ran
+    REJECTED = "refused"  # guarantees that this attempt never ran
     FAILED = "failed"
 
 
@@ -29,14 +29,14 @@
     body: bytes = b""
     retry_after_ms: int = 0  # if rejected: how long the client should avoid this server
     no_retry: bool = False  # if rejected: whether the client is asked not to retry elsewhere
-    load: float | None = None  # the server's load signal as of this response
-    invalid_request: bool = False  # the request is one that no balancer sends
+    load: float | None = None  # the server's load signal at the time of this response
+    invalid_request: bool = False  # the request is malformed: no balancer sends such a request
 
 
 class Exchange:
-    """Something that is owed one response, whoever tries to give it and however often.
+    """A request or health check that gets at most one response, even if several threads try to respond.
 
-    `deliver` is called with the response, at most once, in the thread that gives it.
+    `deliver` is called with the first response, in the thread that gives it.
     """
 
     __slots__ = ("_deliver", "_is_open", "_lock")
@@ -47,7 +47,7 @@
         self._is_open = True
 
     def _close(self) -> bool:
-        """Close the exchange; whether it was open until now."""
+        """Close the exchange; return whether it was open."""
         with self._lock:
             was_open = self._is_open
             self._is_open = False
@@ -55,21 +55,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether no response was given and the client has not disconnected."""
+        """Whether the exchange has no response yet and its client has not disconnected."""
         return self._is_open
 
     def respond(self, response: Response) -> None:
-        """Give the final response; only the first one is delivered, and none after `abandon`."""
+        """Deliver the final response, unless one was given before or the exchange was abandoned."""
         if self._close():
             self._deliver(response)
 
     def abandon(self) -> bool:
-        """Note that the client has disconnected, so no response is owed; False if one was given before."""
+        """Close the exchange because its client disconnected; False if it was closed before."""
         return self._close()
 
 
 class Request(Exchange):
-    """One attempt of a request, as it was read."""
+    """One attempt of a request, as read from a balancer."""
 
     __slots__ = (
         "arrived_at",
@@ -100,31 +100,31 @@
         self.class_name = class_name
         self.body = body
         self.arrived_at = arrived_at  # when it reached the machine, in microseconds of the monotonic clock
-        # How many microseconds its time stamp lay in the future: what counts from the stamp ends later.
+        # Microseconds by which its time stamp lay in the future; periods that count from the stamp end later.
         self.clock_skew = clock_skew
         self.client = client
-        self.memory = memory  # kilobytes that are reserved while it is queued
+        self.memory = memory  # kilobytes reserved while it is queued
         self.idempotency_key = idempotency_key  # the same for all attempts of one keyed request
 
 
 class HealthCheck(Exchange):
-    """A health check by a client."""
+    """A health check from a client."""
 
     __slots__ = ("deep",)
 
     def __init__(self, deliver: Callable[[Response], None], deep: bool) -> None:
         super().__init__(deliver)
-        self.deep = deep  # the client wants to know whether real work gets done
+        self.deep = deep  # the check should verify that real work gets done
 
 
 class RequestSink(Protocol):
-    """Takes what fronts read. Safe to call from any thread."""
+    """Receives requests and health checks from front ends. Its methods are thread-safe."""
 
     def request_arrived(self, request: Request) -> None:
-        """A whole request was read."""
+        """A complete request was read."""
 
     def client_disconnected(self, request: Request) -> None:
-        """The client of a request has disconnected, or can't be reached any more."""
+        """The client of a request has disconnected or is unreachable."""
 
     def health_check_arrived(self, check: HealthCheck) -> None:
         """A health check was read."""
@@ -134,4 +134,4 @@
     """Counts final responses as they are written, for the administration endpoint."""
 
     def response_sent(self, class_name: str, status: ResponseStatus) -> None:
-        """A request of this class got its final response."""
+        """The final response to a request of this class was written."""
--- a/cairnvane/simulator/__main__.py
+++ b/cairnvane/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cairnvane.simulator`: hosts controllers for the bench, on standard input and output."""
+"""`python -m cairnvane.simulator`: runs controllers for the simulator, on standard input and output."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class SimulatorHost:
-    """The instances of this process. They share nothing."""
+    """The service instances of this process, which share no state."""
 
     def __init__(self) -> None:
         self._instances: dict[int, _Instance] = {}
 
     def answer(self, now: int, body: bytes, count: int) -> bytes:
-        """The reply to one batch of `count` records; `ProtocolError` if it is malformed."""
+        """Return the reply to a batch of `count` records; raise `ProtocolError` if it is malformed."""
         groups: list[tuple[int, list[Record]]] = []
         for instance, record in protocol.read_batch(body, count):
             if not groups or groups[-1][0] != instance:
@@ -38,7 +38,7 @@
             reply.begin_instance(instance)
             try:
                 self._handle(instance, now, records, reply)
-            except Exception as error:  # the bench is to learn of any failure, and ends the run
+            except Exception as error:  # any failure is reported to the simulator, which ends its run
                 reply.add_fault(f"{type(error).__name__}: {error}")
         return reply.frame()
 
@@ -74,7 +74,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; `ProtocolError` if it violates the protocol."""
+    """Answer batches until the input ends; raise `ProtocolError` if it violates the protocol."""
     host = SimulatorHost()
     while first_byte := source.read(1):
         header = first_byte + _read_exactly(source, protocol.BATCH_HEADER.size - 1, "batch header")
@@ -84,7 +84,7 @@
 
 
 def main() -> int:
-    """Serve standard input; 1 if it violates the protocol."""
+    """Serve standard input; return exit status 1 if it violates the protocol."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as error:
--- a/cairnvane/simulator/errors.py
+++ b/cairnvane/simulator/errors.py
@@ -4,4 +4,4 @@
 
 
 class ProtocolError(Exception):
-    """A frame or a settings text that violates the protocol. The message names the place and the value."""
+    """A frame or a settings text violates the protocol. The message names the location and the value."""
--- a/cairnvane/simulator/protocol.py
+++ b/cairnvane/simulator/protocol.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's binary protocol: batches to events, actions to replies. Performs no I/O.
+"""Codec of the simulator's binary protocol: batches to events, actions to replies. Performs no I/O.
 
-All integers are big-endian; a record of an event has 56 bytes, one of an action 16. Text follows the records.
-Raises `ProtocolError` with the number of the record that is at fault.
+All integers are big-endian. An event record has 56 bytes, an action record 16; texts follow the records.
+Raises `ProtocolError` with the number of the malformed record.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
     DRAIN_STARTED = 17
     ARRIVAL = 18
     INSTANCE = 19  # the instance to which the following events belong
-    TEARDOWN = 20  # the instance has died
+    TEARDOWN = 20  # the instance was killed
     CALL_FINISHED = 21
     RUN_FINISHED = 22
     WAKEUP = 23
@@ -92,7 +92,7 @@
 _INSTANCE = struct.Struct(">xH")
 _HELLO = struct.Struct(">xQII")
 _ID = struct.Struct(">xQ")
-_ID_CODE_TIME = struct.Struct(">xQBI")
+_ID_OUTCOME_TIME = struct.Struct(">xQBI")
 _ARRIVAL = struct.Struct(">xQBIQIIffBHIQ")
 _U32 = struct.Struct(">xI")
 _WAKEUP = struct.Struct(">xIBffff")
@@ -120,11 +120,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Teardown:
-    """An instance has died."""
+    """An instance was killed."""
 
 
 class Wakeup(NamedTuple):
-    """A timer is due. Its values can only be named with the settings of the instance."""
+    """A timer is due. The settings of the instance define which gauge each value belongs to."""
 
     token: int
     values: list[float]
@@ -134,14 +134,14 @@
 
 
 def _text_span(body: bytes, tail: int, offset: int, length: int) -> bytes:
-    """The part of the text behind the records."""
+    """A part of the text that follows the records."""
     if tail + offset + length > len(body):
         raise ProtocolError(f"tail: {length} bytes at {offset} do not fit into {len(body) - tail}")
     return body[tail + offset : tail + offset + length]
 
 
 def read_batch(body: bytes, count: int) -> Iterator[tuple[int, Record]]:
-    """The `count` records of a batch, each with the number of the instance that it belongs to."""
+    """Yield the `count` records of a batch, each with the number of its instance."""
     tail = count * EVENT_SIZE
     if tail > len(body):
         raise ProtocolError(f"batch: {count} records do not fit into {len(body)} bytes")
@@ -153,7 +153,7 @@
             (instance,) = _INSTANCE.unpack_from(body, offset)
             continue
         if instance < 0:
-            raise ProtocolError(f"record {number}: event {code} comes before any For")
+            raise ProtocolError(f"record {number}: event {code} comes before any INSTANCE record")
         yield instance, _read_record(code, body, offset, tail, number)
 
 
@@ -161,7 +161,7 @@
     if code == EventCode.ARRIVAL:
         return _read_arrival(body, offset)
     if code in (EventCode.RUN_FINISHED, EventCode.CALL_FINISHED):
-        request_id, outcome, duration = _ID_CODE_TIME.unpack_from(body, offset)
+        request_id, outcome, duration = _ID_OUTCOME_TIME.unpack_from(body, offset)
         if outcome not in _OUTCOMES:
             raise ProtocolError(f"record {number}: unknown completion code {outcome}")
         kind = RunFinished if code == EventCode.RUN_FINISHED else CallFinished
@@ -218,8 +218,8 @@
 _ACTION_FLAGS = struct.Struct(">BBB13x")
 _ACTION_FLOAT = struct.Struct(">Bf11x")
 _ACTION_U32 = struct.Struct(">BI11x")
-# Codes of actions that carry nothing but the request's number.
-_PLAIN_CODES: dict[type, ActionCode] = {
+# Codes of actions whose only field is the request id.
+_ID_ONLY_CODES: dict[type, ActionCode] = {
     StartRun: ActionCode.START_RUN,
     Fail: ActionCode.FAIL,
     Cancel: ActionCode.CANCEL,
@@ -230,10 +230,10 @@
 
 
 def _action_record(action: Action) -> bytes:
-    """The record of an action without text; `TypeError` if it is none."""
+    """Encode an action that has no text; raise `TypeError` for any other object."""
     kind = type(action)
-    if kind in _PLAIN_CODES:
-        return _ACTION_ID.pack(_PLAIN_CODES[kind], action.request_id)  # type: ignore[union-attr]
+    if kind in _ID_ONLY_CODES:
+        return _ACTION_ID.pack(_ID_ONLY_CODES[kind], action.request_id)  # type: ignore[union-attr]
     if isinstance(action, Reject):
         retry_after = min(action.retry_after, MAX_U32)
         return _ACTION_REJECT.pack(ActionCode.REJECT, action.request_id, retry_after, action.no_retry)
@@ -253,14 +253,14 @@
 
 
 class Reply:
-    """Collects the actions of one reply."""
+    """Builds one reply from the actions of its instances."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = bytearray()
 
     def begin_instance(self, instance: int) -> None:
-        """The actions that follow belong to this instance."""
+        """Start the actions of this instance."""
         self._records.append(_ACTION_INSTANCE.pack(ActionCode.INSTANCE, instance))
 
     def _add_text(self, code: ActionCode, text: str) -> None:
@@ -269,17 +269,17 @@
         self._tail += data
 
     def add_fault(self, text: str) -> None:
-        """Decision code has failed."""
+        """Append a failure of the decision code."""
         self._add_text(ActionCode.FAULT, text)
 
     def add(self, action: Action) -> None:
-        """Append one action of the controller."""
+        """Append an action of the controller."""
         if isinstance(action, LogMessage):
             self._add_text(ActionCode.TRACE, action.message)
         else:
             self._records.append(_action_record(action))
 
     def frame(self) -> bytes:
-        """The whole reply."""
+        """Return the encoded reply."""
         body = b"".join(self._records) + bytes(self._tail)
         return REPLY_HEADER.pack(len(body), len(self._records)) + body
--- a/cairnvane/simulator/settings_reader.py
+++ b/cairnvane/simulator/settings_reader.py
@@ -1,7 +1,7 @@
 """Reads the deployment's settings (JSON) into `contract.settings`, and names the gauges of a timer event.
 
-This is the only module that knows the keys and words of that format. Raises `ProtocolError` with the key and
-the value of whatever is wrong.
+Only this module depends on the keys and words of that format. Raises `ProtocolError` with the key
+and the value at fault.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from .errors import ProtocolError
 
-# A duration on the wire has 32 bits of microseconds.
+# Durations in the protocol are microseconds in 32 bits.
 MAX_U32 = 0xFFFFFFFF
 
 _RETRY_SEMANTICS = {
@@ -51,8 +51,8 @@
     "sockets": "connections",
 }
 
-# Names of settings in `contract.settings`, and the key that each is read from.
-_KEYS = {
+# Names of settings in `contract.settings`, and the key from which each is read.
+_SETTING_KEYS = {
     "cores": "Extra.Cores",
     "memory": "Extra.HeapKb",
     "classes": "Classes",
@@ -81,36 +81,36 @@
 }
 _LIST_ENTRY = re.compile(r"(classes|tenants)\[(.*)]\.(\w+)", re.DOTALL)
 
-# The gauges of a timer event in the order of its values; None for one that the controller has no use for.
+# The `TimerFired` field for each value of a timer event, in order; None if the controller ignores the value.
 GaugeFields = tuple[str | None, ...]
 
 
 class InstanceSettings(NamedTuple):
-    """The settings of an instance, and the gauges in the order in which a timer event brings them."""
+    """The settings of an instance, and the fields for the values of its timer events."""
 
     settings: Settings
     gauges: GaugeFields
 
 
 def _key_of(name: str) -> str:
-    """The key that a setting of this name was read from."""
+    """The key from which the setting of this name was read."""
     if (entry := _LIST_ENTRY.fullmatch(name)) is not None:
-        return f"{entry[1].capitalize()}[{entry[2]!r}].{_KEYS[entry[3]]}"
-    return _KEYS.get(name, name)
+        return f"{entry[1].capitalize()}[{entry[2]!r}].{_SETTING_KEYS[entry[3]]}"
+    return _SETTING_KEYS.get(name, name)
 
 
-def _value(place: str, source: dict[str, Any], key: str, form: type, default: Any = None) -> Any:
-    """The value of a key, which has this type; a key without a default is required."""
+def _value(prefix: str, source: dict[str, Any], key: str, expected_type: type, default: Any = None) -> Any:
+    """Return the value of a key and check its type. A key without a default is required."""
     if key not in source and default is None:
-        raise ProtocolError(f"settings: key {place}{key} is missing")
+        raise ProtocolError(f"settings: key {prefix}{key} is missing")
     value = source.get(key, default)
-    if not isinstance(value, form) or (form is int and isinstance(value, bool)):
-        raise ProtocolError(f"settings: {place}{key}: impossible value {value!r}")
+    if not isinstance(value, expected_type) or (expected_type is int and isinstance(value, bool)):
+        raise ProtocolError(f"settings: {prefix}{key}: impossible value {value!r}")
     return value
 
 
-def _objects(source: dict[str, Any], key: str) -> list[dict[str, Any]]:
-    """A list of objects."""
+def _object_list(source: dict[str, Any], key: str) -> list[dict[str, Any]]:
+    """Return the value of a key, a list of JSON objects; an absent key means an empty list."""
     entries: list[dict[str, Any]] = _value("", source, key, list, [])
     for number, entry in enumerate(entries):
         if not isinstance(entry, dict):
@@ -118,39 +118,39 @@
     return entries
 
 
-def _duration(place: str, source: dict[str, Any], key: str, default: int | None = None) -> Any:
-    """A duration that fits the wire format; `Settings` checks the rest."""
-    value = _value(place, source, key, object, default)
+def _duration(prefix: str, source: dict[str, Any], key: str, default: int | None = None) -> Any:
+    """Return a duration, checked to fit into 32 bits; `Settings` checks its type and lower bound."""
+    value = _value(prefix, source, key, object, default)
     if isinstance(value, (int, float)) and value > MAX_U32:
-        raise ProtocolError(f"settings: {place}{key}: impossible value {value!r}: over {MAX_U32}")
+        raise ProtocolError(f"settings: {prefix}{key}: impossible value {value!r}: over {MAX_U32}")
     return value
 
 
-def _word(words: dict[str, Any], place: str, source: dict[str, Any], key: str, default: str) -> Any:
-    """One of the words of an enumeration."""
+def _enum_member(members: dict[str, Any], prefix: str, source: dict[str, Any], key: str, default: str) -> Any:
+    """Return the enumeration member for the word at a key."""
     value = source.get(key, default)
-    if not isinstance(value, str) or value not in words:
-        raise ProtocolError(f"settings: {place}{key}: unknown word {value!r}")
-    return words[value]
+    if not isinstance(value, str) or value not in members:
+        raise ProtocolError(f"settings: {prefix}{key}: unknown word {value!r}")
+    return members[value]
 
 
 def _request_class(number: int, entry: dict[str, Any], degraded_fraction: float) -> RequestClass:
-    place = f"Classes[{number}]."
+    prefix = f"Classes[{number}]."
     return RequestClass(
-        name=_value(place, entry, "Name", str, ""),
-        latency_objective=_duration(place, entry, "OnTimeUs"),
-        client_timeout=_duration(place, entry, "GiveUpUs"),
+        name=_value(prefix, entry, "Name", str, ""),
+        latency_objective=_duration(prefix, entry, "OnTimeUs"),
+        client_timeout=_duration(prefix, entry, "GiveUpUs"),
         priority_weight=entry.get("Worth", 1.0),
         late_fraction=entry.get("LateWorth", 0.0),
-        retry_semantics=_word(_RETRY_SEMANTICS, place, entry, "Repeat", "free"),
-        retry_window=_duration(place, entry, "WindowUs", 0),
+        retry_semantics=_enum_member(_RETRY_SEMANTICS, prefix, entry, "Repeat", "free"),
+        retry_window=_duration(prefix, entry, "WindowUs", 0),
         degraded_fraction=degraded_fraction,
         objective_per_cost=entry.get("AimStretch", 0.0),
     )
 
 
 def _request_classes(params: dict[str, Any], extra: dict[str, Any]) -> tuple[RequestClass, ...]:
-    entries = _objects(params, "Classes")
+    entries = _object_list(params, "Classes")
     fractions: list[Any] = _value("Extra.", extra, "ClassSkipWorth", list, [0.0] * len(entries))
     if len(fractions) < len(entries):
         raise ProtocolError(
@@ -160,8 +160,8 @@
 
 
 def _tenant(number: int, entry: dict[str, Any]) -> Tenant:
-    place = f"Tenants[{number}]."
-    return Tenant(_value(place, entry, "Name", str, ""), _value(place, entry, "QuotaPerS", object))
+    prefix = f"Tenants[{number}]."
+    return Tenant(_value(prefix, entry, "Name", str, ""), _value(prefix, entry, "QuotaPerS", object))
 
 
 def _max_retry_after(limits: dict[str, Any]) -> Any:
@@ -176,14 +176,14 @@
         cores=_value("Extra.", extra, "Cores", int),
         memory=_value("Extra.", extra, "HeapKb", object),
         classes=_request_classes(params, extra),
-        tenants=tuple(_tenant(number, entry) for number, entry in enumerate(_objects(params, "Tenants"))),
+        tenants=tuple(_tenant(number, entry) for number, entry in enumerate(_object_list(params, "Tenants"))),
         over_quota_fraction=params.get("OverShareWorth", 1.0),
         replicas=max(1, _value("", params, "PeersTotal", int, 1)),
         running_memory_factor=extra.get("RunFactor", 1.0),
         key_memory=extra.get("KeyKb", 0.0),
-        cancel_mode=_word(_CANCEL_MODES, "Extra.", extra, "Halt", "silent"),
-        load_signal=_word(_LOAD_SIGNALS, "Extra.", extra, "Say", "silent"),
-        dependency=_word(_DEPENDENCIES, "Extra.", extra, "Downstream", "silent"),
+        cancel_mode=_enum_member(_CANCEL_MODES, "Extra.", extra, "Halt", "silent"),
+        load_signal=_enum_member(_LOAD_SIGNALS, "Extra.", extra, "Say", "silent"),
+        dependency=_enum_member(_DEPENDENCIES, "Extra.", extra, "Downstream", "silent"),
         dependency_quota=extra.get("FairCalls", 0.0),
         dependency_window=_duration("Extra.", extra, "CallsOverUs", 1_000_000),
         abandoned_call_time=_duration("Extra.", extra, "LingerUs", 0),
@@ -205,7 +205,7 @@
 
 
 def read_settings(text: str) -> InstanceSettings:
-    """Parse a settings text (JSON); `ProtocolError` names the key and the value of whatever is wrong."""
+    """Parse a settings text (JSON); raise `ProtocolError` with the key and the value at fault."""
     try:
         params = json.loads(text)
         if not isinstance(params, dict):
@@ -221,7 +221,7 @@
 
 
 def timer_fired(token: int, values: Sequence[float], gauges: GaugeFields) -> TimerFired:
-    """A timer event whose values are assigned to the gauges that the settings name."""
+    """Build a timer event, with its values assigned to the gauge fields from the settings."""
     fired = TimerFired(token)
     for name, value in zip(gauges, values, strict=False):
         if name is not None:
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -1,4 +1,4 @@
-"""The codec against the examples of the protocol description, round trips and malformed input."""
+"""The simulator's protocol: the examples of its description, settings, and malformed input."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
     return [event for _, event in protocol.read_batch(b"".join(records), len(records))]
 
 
-def test_events_of_the_protocol_description() -> None:
+def test_example_events_of_the_protocol_description_are_decoded() -> None:
     read = events(
         instance_record(3),
         ARRIVAL,
@@ -115,7 +115,7 @@
     ]
 
 
-def test_absent_fields_are_none() -> None:
+def test_absent_arrival_fields_are_decoded_as_none() -> None:
     record = struct.pack(">BQBIQIIffBHIQ3x", 18, 5, 1, 3, 0, 0, 999, 8.0, 0.0, 6, 2, 0, 0)
     assert events(instance_record(1), record) == [Arrival(5, 1, 0, None, 8.0, None, 2, 3, True, None)]
 
@@ -138,13 +138,13 @@
         (SetTimer(0x87FD7A, 77), "5b 000000000087fd7a 0000004d 000000"),
     ],
 )
-def test_actions_of_the_protocol_description(action: Action, record: str) -> None:
+def test_example_actions_of_the_protocol_description_are_encoded(action: Action, record: str) -> None:
     reply = protocol.Reply()
     reply.add(action)
     assert reply.frame() == struct.pack(">II", 16, 1) + bytes.fromhex(record)
 
 
-def test_reply_of_the_protocol_description() -> None:
+def test_example_reply_of_the_protocol_description_is_encoded() -> None:
     reply = protocol.Reply()
     reply.begin_instance(3)
     reply.add(StartRun(REQUEST))
@@ -192,12 +192,12 @@
     return completed.returncode, completed.stdout, completed.stderr.decode()
 
 
-def test_empty_batch_and_end_of_input() -> None:
+def test_empty_batch_gets_an_empty_reply_and_end_of_input_exits() -> None:
     assert run_simulator(batch()) == (0, bytes(8), "")
     assert run_simulator() == (0, b"", "")
 
 
-def test_teardown_and_hello_in_one_batch() -> None:
+def test_teardown_and_hello_in_one_batch_start_a_new_incarnation() -> None:
     sink = io.BytesIO()
     text = json.dumps(PARAMS).encode()
     restart = batch(instance_record(3), TEARDOWN, struct.pack(">BQII39x", 25, 8, 0, len(text)), tail=text)
@@ -210,10 +210,10 @@
         ),
         sink,
     )
-    assert sink.getvalue().count(b"\x5b") >= 2  # each incarnation set its timer
+    assert sink.getvalue().count(b"\x5b") >= 2  # each of the two incarnations requested a timer
 
 
-def test_instances_act_alike_apart_and_together() -> None:
+def test_an_instance_acts_the_same_alone_and_beside_another() -> None:
     def actions(*frames: bytes) -> bytes:
         sink = io.BytesIO()
         __main__.serve(io.BytesIO(b"".join(frames)), sink)
@@ -233,7 +233,7 @@
         (batch(instance_record(3), ARRIVAL)[:-5], "batch: cut short"),
         (struct.pack(">QII", 0, 0, 4), "4 records do not fit"),
         (batch(instance_record(3), bytes([99]) + bytes(55)), "unknown event code 99"),
-        (batch(ARRIVAL), "before any For"),
+        (batch(ARRIVAL), "before any INSTANCE record"),
         (
             batch(instance_record(3), bytes.fromhex("16 0006b47e5d3a91c4 07 00004844") + bytes(42)),
             "completion code 7",
@@ -258,7 +258,7 @@
     assert error.count("\n") == 1
 
 
-def test_a_failing_decision_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_controller_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def raise_error(self: object, now: int, events: object) -> list[Action]:
         raise IndexError("index out of range")
 
