--- a/cairnvane/admission/idle_connections.py
+++ b/cairnvane/admission/idle_connections.py
@@ -1,4 +1,4 @@
-"""Decides how long idle connections are kept: by returning clients and by delays from handshakes."""
+"""Decides how long long idle connections are kept, depending on returning clients and handshake load."""
 
 from __future__ import annotations
 
--- a/tests/admission/test_aimd.py
+++ b/tests/admission/test_aimd.py
@@ -1,4 +1,4 @@
-"""AIMD admission, the design's ordinary path."""
+"""AIMD admission by queue length, the main path of the controller."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def finish_first_runs(host: SimulatedHost) -> None:
-    """Four finished runs of 100 ms: 40 requests a second on four cores."""
+    """Finish four runs of 100 ms each: 40 requests per second on four cores."""
     host.send(*(Arrival(request_id, IDEMPOTENT) for request_id in range(1, 5)))
     host.now += 100 * MS
     for request_id in range(1, 5):
@@ -28,13 +28,13 @@
 
 
 def fill_queue(host: SimulatedHost, count: int) -> None:
-    """Occupy the cores and queue so many of a class without a finished run, which moves no probability."""
+    """Occupy the cores and queue `count` requests of a class whose run time is unknown."""
     for request_id in range(1_000, 1_000 + host.settings.cores + count):
         host.send(Arrival(request_id, NON_IDEMPOTENT))
     assert host.count(Place.QUEUED) == count
 
 
-def test_the_probability_starts_at_one_and_needs_a_finished_run() -> None:
+def test_the_probability_starts_at_one_and_changes_only_after_a_finished_run() -> None:
     host = start_host()
     assert host.controller.admission.probability == 1.0
     fill_queue(host, 60)
@@ -42,7 +42,7 @@
     assert host.controller.admission.probability == 1.0
 
 
-def test_the_probability_stays_until_there_is_core_time() -> None:
+def test_the_probability_is_unchanged_until_core_time_was_spent() -> None:
     host = start_host()
     host.controller.service.known_classes.add("read")
     occupy_cores(host, 8)
--- a/tests/admission/test_controller_answers.py
+++ b/tests/admission/test_controller_answers.py
@@ -1,4 +1,4 @@
-"""Every request is answered by its deadline: no request lost."""
+"""Every request is answered by its deadline, so that none is lost."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert actions_of(host.actions, Cancel) == [Cancel(1)]
 
 
-def test_a_run_that_cannot_be_cancelled_is_failed_all_the_same() -> None:
+def test_a_run_that_cannot_be_cancelled_is_still_failed_before_its_deadline() -> None:
     host = start_host(cancel_mode=CancelMode.NONE)
     arrive(host, 1, time_left=500 * MS)
     host.advance(500 * MS)
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.NEVER_STARTED])
 def test_a_run_that_ended_without_an_answer_is_failed(outcome: Outcome) -> None:
-    """Guards against a request that was forgotten with its answer still owed."""
+    """Guards against a request that is dropped without an answer when its run ends early."""
     host = start_host()
     arrive(host, 1)
     assert actions_of(host.send(RunFinished(1, outcome)), Fail) == [Fail(1)]
@@ -67,7 +67,7 @@
     assert actions_of(arrive(host, 1, queue_delay=4_000 * MS), Reject)
 
 
-def test_a_disconnected_client_is_owed_nothing_and_frees_the_core() -> None:
+def test_a_disconnect_cancels_the_run_and_needs_no_answer() -> None:
     host = start_host()
     arrive(host, 1)
     assert actions_of(host.disconnect(1), Cancel) == [Cancel(1)]
@@ -84,12 +84,12 @@
         (IDEMPOTENT, True, True),
     ],
 )
-def test_a_run_whose_result_a_retry_could_replay_continues_without_its_client(
+def test_only_a_keyed_run_past_its_call_continues_after_a_disconnect(
     class_index: int,
     has_called: bool,
     is_cancelled: bool,
 ) -> None:
-    """Guards against cancelling a keyed run when its client left: the retry failed for want of a result."""
+    """Guards against cancelling a keyed run on a disconnect: the retry failed because there was no result."""
     host = start_host()
     arrive(host, 1, class_index)
     if has_called:
@@ -98,7 +98,7 @@
     assert bool(actions_of(host.disconnect(1), Cancel)) is is_cancelled
 
 
-def test_events_of_unknown_and_finished_requests_change_nothing() -> None:
+def test_events_of_unknown_and_finished_requests_have_no_effect() -> None:
     host = start_host()
     arrive(host, 1)
     host.finish(1)
@@ -123,7 +123,7 @@
     assert all(request.answered for request in host.requests.values())
 
 
-def test_a_clock_that_jumps_ahead_loses_no_request() -> None:
+def test_a_forward_clock_jump_loses_no_request() -> None:
     host = start_host()
     occupy_cores(host, 6)
     host.now += 2_960 * MS  # no timer fired for seconds
@@ -134,7 +134,7 @@
     assert host.requests[50].place in (Place.QUEUED, Place.RUNNING)
 
 
-def test_a_clock_that_steps_back_lets_no_time_pass() -> None:
+def test_a_backward_clock_step_counts_as_no_elapsed_time() -> None:
     host = start_host()
     host.now = 1_000 * MS
     occupy_cores(host, 1)
--- a/tests/admission/test_controller_concurrency.py
+++ b/tests/admission/test_controller_concurrency.py
@@ -1,4 +1,4 @@
-"""The concurrency limit."""
+"""The limit on concurrent runs."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from cairnvane.contract.events import Arrival
 
 
-def test_the_limit_climbs_while_throughput_grows_and_turns_when_it_falls() -> None:
-    """Seen from outside: how many run at once while runs finish at a given rate."""
+def test_the_limit_rises_while_throughput_grows_and_reverses_when_it_falls() -> None:
+    """Observes the number of concurrent runs while runs finish at given rates."""
     host = start_host(max_oversubscription=40.0)
     host.runnable = 9
     request_id = 0
 
     def interval(per_second: int) -> int:
-        """As many finished runs as a step needs, with requests queued all the while."""
+        """Finish the runs of one interval while requests stay queued; return the number of runs."""
         nonlocal request_id
         for _ in range(parameters.CLIMB_RUNS_PER_CORE * host.settings.cores):
             while host.count(Place.QUEUED) < 6:
@@ -28,15 +28,15 @@
 
     counts = [interval(rate) for rate in (80, 80, 60, 80, 105, 140, 100)]
     assert counts[:2] == [4, 4]  # at the minimum
-    assert counts[2:6] == [5, 6, 7, 8]  # throughput fell there, and then grew with each step
+    assert counts[2:6] == [5, 6, 7, 8]  # throughput fell first, then grew with each step
     assert counts[6] == 8
     host.finish(host.ids(Place.RUNNING)[0])
-    assert host.count(Place.RUNNING) == 7  # it fell: one fewer, as soon as a run ends
+    assert host.count(Place.RUNNING) == 7  # throughput fell: one run fewer after the next run ends
     assert host.count(Place.QUEUED)
 
 
 def test_a_burst_with_busy_cores_does_not_raise_the_limit() -> None:
-    """The busy fraction lags; present demand shows whether cores idle."""
+    """The busy fraction lags; only the current demand shows whether cores are idle."""
     host = start_host()
     occupy_cores(host, 8)
     host.runnable = 6
@@ -44,14 +44,14 @@
     assert host.count(Place.RUNNING) == 4
     host.runnable, host.cpu_busy = 1, 0.95
     host.advance(50 * MS)
-    assert host.count(Place.RUNNING) == 4  # round 58: a disk left cores idle for the moment
+    assert host.count(Place.RUNNING) == 4  # runs that wait for a disk leave cores idle only for a moment
     host.cpu_busy = 0.5
     host.advance(50 * MS)
     assert host.count(Place.RUNNING) == 5
 
 
 def test_a_read_delay_resets_the_limit_to_the_cores() -> None:
-    """Round 29: reading shares the cores with what runs, and many running requests starved it."""
+    """Guards against too many runs starving the reading of requests, which shares the cores with them."""
     host = start_host()
     host.runnable = 1
     for request_id in range(1, 9):
--- a/tests/admission/test_controller_dependency.py
+++ b/tests/admission/test_controller_dependency.py
@@ -1,4 +1,4 @@
-"""The dependency quota and the calls of requests."""
+"""The limit on calls to the dependency, and the calls of requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_calls(host: SimulatedHost, duration: int, count: int) -> None:
-    """So many requests, one after the other, each with a call that takes so long."""
+    """Run `count` requests one after the other, each with a call of this duration."""
     for request_id in range(len(host.requests) + 1, len(host.requests) + count + 1):
         arrive(host, request_id)
         host.request_call(request_id)
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.UNREACHED, Outcome.REJECTED])
 def test_one_short_call_does_not_make_all_others_look_slow(outcome: Outcome) -> None:
-    """Guards against taking the first call as the best time: one call at a time was made for seconds."""
+    """Guards against using a single call time as the best time: for seconds only one call ran at a time."""
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=8.0, memory=1e6)
     for request_id in range(1, 20):
         arrive(host, request_id)
@@ -67,7 +67,10 @@
 
 
 def test_the_limit_falls_when_calls_grow_slow_and_recovers() -> None:
-    """Incident ica6448: calls piled up where no local queue shows it, and slowed each other down."""
+    """Guards against calls that pile up at the dependency and slow each other down (incident ica6448).
+
+    No local queue shows this.
+    """
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=10.0)
     most = host.controller.dependency.limit
     make_calls(host, 20 * MS, 10)
@@ -77,8 +80,8 @@
     assert host.controller.dependency.limit == most
 
 
-def test_calls_that_stay_slow_with_one_in_flight_are_no_longer_limited() -> None:
-    """Guards against calling a dependency that is slow by itself one call at a time: most requests failed."""
+def test_the_limit_rises_if_calls_stay_slow_with_one_in_flight() -> None:
+    """Guards against a limit of one call for a dependency that is always slow: most requests failed."""
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=10.0)
     make_calls(host, 20 * MS, 10)
     make_calls(host, 200 * MS, 40)
@@ -86,9 +89,9 @@
 
 
 def test_congestion_of_the_dependency_delays_only_requests_that_call() -> None:
-    """Guards against starting nothing while all calls are in flight, and asking clients to send less.
+    """Guards against starting no request, and lowering the load signal, while the dependency is congested.
 
-    The cores idled, though a third of the requests needed no call. Those with a call failed at it.
+    The cores were idle although a third of the requests needed no call. The requests with a call failed.
     """
     host = start_host(
         dependency=DependencyKind.SHARED,
@@ -102,7 +105,7 @@
         arrive(host, request_id)
         host.request_call(request_id)
     assert not actions_of(arrive(host, 200), StartRun)
-    assert actions_of(arrive(host, 201, KEYED), StartRun)  # none of this class was seen to call
+    assert actions_of(arrive(host, 201, KEYED), StartRun)  # no request of this class has made a call
     rejected = []
     for _ in range(80):
         host.now += 20 * MS
@@ -111,7 +114,7 @@
     assert host.controller.load_reports.target_load == 1.0
 
 
-def test_delays_that_may_be_the_instances_own_reduce_no_limit() -> None:
+def test_calls_below_the_slow_call_minimum_do_not_reduce_the_limit() -> None:
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=10.0)
     make_calls(host, 2 * MS, 10)
     most = host.controller.dependency.limit
@@ -120,7 +123,7 @@
 
 
 def test_a_call_that_never_ends_is_abandoned_long_before_its_request() -> None:
-    """Guards against calls that occupy capacity until their client leaves: nothing more was started."""
+    """Guards against unanswered calls that occupy capacity until their clients leave: no run was started."""
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=10.0)
     make_calls(host, 20 * MS, 10)
     for request_id, class_index, most in ((901, IDEMPOTENT, 140), (902, KEYED, 560)):
@@ -131,14 +134,14 @@
     host.now += 140 * MS
     host.requests[901].place = Place.RUNNING
     host.send(CallFinished(901, Outcome.TIMEOUT, 140 * MS))
-    assert host.controller.dependency.limit == before  # one loss says nothing of the others
+    assert host.controller.dependency.limit == before  # one lost call does not mean that calls are slow
 
 
 @pytest.mark.parametrize("late_fraction", [0.0, 0.8])
 def test_a_late_call_is_skipped_without_capacity_or_if_a_degraded_answer_earns_more(
     late_fraction: float,
 ) -> None:
-    """Round 34: calls were skipped on a guess. Round 71: late requests were failed despite capacity."""
+    """Guards against skipping calls on an uncertain estimate, and failing late requests despite capacity."""
     host = start_host(
         dependency=DependencyKind.SHARED,
         dependency_quota=1.2,
@@ -161,8 +164,8 @@
     assert actions_of(host.request_call(3), SkipCall) == [SkipCall(3)]
 
 
-def test_a_request_too_late_for_its_call_is_answered_while_the_cores_are_full() -> None:
-    """Round 63: requests at a call waited for a core before they were given up."""
+def test_a_request_too_late_for_its_call_is_failed_while_the_cores_are_full() -> None:
+    """Guards against late requests that wait at their call for a core instead of being answered."""
     host = start_host(
         cold_start=True,
         cold_speed=0.01,
@@ -183,7 +186,7 @@
     assert set(waiting) <= {action.request_id for action in actions_of(host.actions, Fail)}
 
 
-def test_a_request_that_was_answered_makes_no_call() -> None:
+def test_an_answered_request_makes_no_call() -> None:
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=1.0)
     for request_id in (1, 2):
         arrive(host, request_id)
--- a/tests/admission/test_controller_determinism.py
+++ b/tests/admission/test_controller_determinism.py
@@ -13,11 +13,11 @@
 def test_the_same_events_give_the_same_actions() -> None:
     def run_scenario() -> list[Action]:
         host = start_host(seed=7)
-        source = random.Random(3)
+        rng = random.Random(3)
         for request_id in range(1, 300):
-            host.advance(source.randrange(1, 30) * MS)
-            host.send(Arrival(request_id, source.randrange(3), memory=8.0))
-            if host.ids(Place.RUNNING) and source.random() < 0.5:
+            host.advance(rng.randrange(1, 30) * MS)
+            host.send(Arrival(request_id, rng.randrange(3), memory=8.0))
+            if host.ids(Place.RUNNING) and rng.random() < 0.5:
                 host.finish(host.ids(Place.RUNNING)[0])
         return host.actions
 
--- a/tests/admission/test_controller_duplicates.py
+++ b/tests/admission/test_controller_duplicates.py
@@ -1,4 +1,4 @@
-"""Duplicates and idempotency keys: no effect twice."""
+"""Duplicates and idempotency keys: no effect happens twice."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     assert actions_of(host.actions, Fail) == [Fail(2)]
 
 
-def test_a_keyed_request_that_is_rejected_leaves_no_key() -> None:
+def test_rejecting_a_keyed_request_forgets_its_key() -> None:
     host = start_host()
     occupy_cores(host)
     arrive(host, 9, KEYED, time_left=300 * MS)
@@ -48,7 +48,7 @@
 
 
 def test_a_key_is_remembered_for_the_lifetime_of_its_class() -> None:
-    """Lifetimes differ by class: a key that expires early must not wait for an older, later one."""
+    """Lifetimes differ by class: a key must expire on time although an older key expires later."""
     brief = replace(CLASSES[KEYED], name="brief", retry_window=1_000 * MS)
     host = start_host(classes=(*CLASSES, brief), memory=300.0, key_memory=100.0)
     arrive(host, 1, KEYED, memory=1.0)
--- a/tests/admission/test_controller_fractional_quota.py
+++ b/tests/admission/test_controller_fractional_quota.py
@@ -1,4 +1,4 @@
-"""Dependency quotas of less than one call, which hold as a mean over a window."""
+"""Dependency quotas below one call, which limit the mean over a window."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("quota", [0.1, 0.4, 0.9])
 def test_one_call_that_hangs_stays_within_the_quota(quota: float) -> None:
-    """Round 63: a call might last as long as its request; if all hang at once, the dependency collapses."""
+    """Guards against calls that last as long as their request: if all hang, the dependency collapses."""
     window = 5_000 * MS
     abandoned_call_time = 200 * MS
     host = start_host(
@@ -29,8 +29,8 @@
     assert call.timeout + abandoned_call_time <= quota * window
 
 
-def test_the_quota_is_a_mean_not_a_pause_after_each_call() -> None:
-    """Round 27: a pause of the whole abandoned time after each call left the cores idle at full size."""
+def test_the_quota_limits_the_mean_without_a_pause_after_each_call() -> None:
+    """Guards against a pause of the abandoned call time after each call, which left the cores idle."""
     host = start_host(
         dependency=DependencyKind.SHARED,
         dependency_quota=0.4,
@@ -54,7 +54,7 @@
     assert busy * MS < 0.4 * host.now
 
 
-def test_the_quota_holds_when_calls_grow_long() -> None:
+def test_the_quota_holds_when_calls_become_long() -> None:
     host = start_host(
         dependency=DependencyKind.SHARED,
         dependency_quota=0.4,
@@ -76,7 +76,7 @@
 
 
 def test_the_limit_below_one_call_falls_while_calls_are_slow_and_recovers() -> None:
-    """Round 37: where no limit fell, an oversubscribed dependency stayed so after the cause was over."""
+    """Guards against a limit that never falls, which kept the dependency overloaded after the cause ended."""
     host = start_host(
         dependency=DependencyKind.SHARED,
         dependency_quota=0.5,
@@ -86,7 +86,7 @@
     request_id = 0
 
     def busy_fraction(duration: int) -> float:
-        """The fraction of the time that a call is in flight while there is always one to make."""
+        """The fraction of time with a call in flight while there is always a call to make."""
         nonlocal request_id
         start = host.now
         busy = 0
@@ -113,7 +113,7 @@
     assert busy_fraction(20 * MS) > 0.9 * quick
 
 
-def test_a_quota_of_no_call_leaves_no_request_unanswered() -> None:
+def test_a_quota_of_zero_leaves_no_request_unanswered() -> None:
     host = start_host(dependency=DependencyKind.SHARED, dependency_quota=0.0)
     for request_id in (1, 2, 3):
         arrive(host, request_id, KEYED)
--- a/tests/admission/test_controller_limits.py
+++ b/tests/admission/test_controller_limits.py
@@ -1,4 +1,4 @@
-"""Memory, warm-up and graceful shutdown: no collapse, and nothing runs that must not."""
+"""The limits on memory, on runs during warm-up, and on requests during a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert [action.request_id for action in actions_of(host.actions, Fail)]
 
 
-def test_a_request_that_does_not_fit_blocks_none_behind_it() -> None:
+def test_a_request_that_does_not_fit_into_memory_blocks_no_later_request() -> None:
     host = start_host(memory=400.0)
     occupy_cores(host)
     arrive(host, 5, KEYED, memory=1.0)
@@ -53,7 +53,7 @@
     assert host.count(Place.RUNNING) == 4
 
 
-def test_a_cold_instance_is_not_oversubscribed_beyond_what_it_survives() -> None:
+def test_a_cold_instance_is_not_oversubscribed_beyond_its_ceiling() -> None:
     host = start_host(cold_start=True, cold_speed=0.25, warmup_time=10_000 * MS)
     host.controller.concurrency.limit = 50
     occupy_cores(host, 30)
--- a/tests/admission/test_controller_scheduling.py
+++ b/tests/admission/test_controller_scheduling.py
@@ -1,4 +1,4 @@
-"""Which requests start, and which are rejected as hopeless."""
+"""Which requests start, and which are rejected because their answer would be too late."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
     assert host.ids(Place.RUNNING) == [3, 9, 1, 7]
 
 
-def test_the_greatest_weight_in_time_starts_first() -> None:
-    """Round 15: in overload weights 1 and 3 waited alike."""
+def test_the_on_time_request_of_greatest_weight_starts_first() -> None:
+    """Guards against an overload in which requests of weight 1 and 3 wait equally long."""
     host = start_host()
     occupy_cores(host)
     arrive(host, 8, IDEMPOTENT)
@@ -52,7 +52,7 @@
     host.now = 400 * MS
     host.send(*(RunFinished(request_id, Outcome.OK, 400 * MS) for request_id in range(1, 5)))
     host.controller.load_reports.target_load = 0.9
-    # With a core free an estimate is not trusted.
+    # The estimate is ignored while a core is free.
     assert actions_of(arrive(host, 8, queue_delay=700 * MS), StartRun)
     host.controller.concurrency.limit = 8
     occupy_cores(host, 3, first=20)
@@ -61,8 +61,8 @@
     assert [action.request_id for action in actions_of(actions, Reject)] == [9]
 
 
-def test_hopeless_requests_are_rejected_at_arrival_where_no_core_is_free() -> None:
-    """Round 36: large requests waited on slow servers only to be rejected, too late for a retry elsewhere."""
+def test_requests_that_would_be_late_are_rejected_on_arrival_if_no_core_is_free() -> None:
+    """Guards against requests that wait on a slow server and are rejected too late for a retry elsewhere."""
     host = start_host()
     for request_id in range(1, 5):
         arrive(host, request_id, cost=100 * MS)
@@ -75,8 +75,11 @@
     assert not actions_of(arrive(host, 21, cost=150 * MS), Reject)
 
 
-def test_a_request_whose_deadline_precedes_its_objective_is_not_started_in_vain() -> None:
-    """Incident ia60c4c: a quarter of the runs passed their deadline running, and could not be cancelled."""
+def test_a_request_that_would_miss_its_deadline_is_not_started() -> None:
+    """Guards against starting runs that miss their deadline and can't be cancelled (incident ia60c4c).
+
+    They were a quarter of all runs.
+    """
     host = start_host(cancel_mode=CancelMode.NONE)
     occupy_cores(host)
     host.now = 500 * MS
@@ -91,7 +94,7 @@
 def test_a_request_that_will_be_late_is_rejected_at_once_at_the_concurrency_limit(
     request_class: RequestClass,
 ) -> None:
-    """Round 54: late requests stayed queued until their deadline, and kept out those that arrived."""
+    """Guards against late requests that stay queued until their deadline and keep out new requests."""
     host = start_host(classes=(request_class,))
     occupy_cores(host)
     host.now = 400 * MS
@@ -105,7 +108,7 @@
     assert host.now < host.requests[20].deadline - 1_000 * MS
 
 
-def test_a_late_request_that_earns_something_runs_where_there_is_capacity() -> None:
+def test_a_late_request_that_still_earns_something_runs_if_there_is_capacity() -> None:
     host = start_host(classes=(LATE_CLASS,))
     host.now = 1_500 * MS
     assert actions_of(arrive(host, 1, queue_delay=1_200 * MS), StartRun)
@@ -114,8 +117,8 @@
 @pytest.mark.parametrize(
     ("is_retry", "time_left", "runs"),
     [
-        (False, 1_500, True),  # as first attempts are given
-        (True, 1_500, True),  # alike: its age does not show
+        (False, 1_500, True),  # the time that first attempts get
+        (True, 1_500, True),  # the same time: its age is unknown
         (True, 2_800, True),  # a last attempt, 0.2 s after the first
         (True, 1_200, False),  # 1.8 s after the first, past the objective
     ],
@@ -123,7 +126,10 @@
 def test_the_objective_of_a_retry_counts_from_its_first_attempt(
     is_retry: bool, time_left: int, runs: bool
 ) -> None:
-    """Incident i1d3269: a third of the runs ended late for clients whose first attempt was long past."""
+    """Guards against runs for clients whose first attempt was long ago (incident i1d3269).
+
+    A third of the runs ended late for such clients.
+    """
     host = start_host(classes=(CLASSES[IDEMPOTENT],))
     occupy_cores(host, 1, first=100)
     host.send(Arrival(1, IDEMPOTENT, memory=10.0, time_left=1_500 * MS))
@@ -135,7 +141,10 @@
 
 @pytest.mark.parametrize(("queue_delay", "no_retry"), [(0, False), (140 * MS, False), (160 * MS, True)])
 def test_a_client_that_has_waited_is_asked_not_to_retry(queue_delay: int, no_retry: bool) -> None:
-    """Round 32: at full size retries over a 25th of the instances cost a reading at each of them."""
+    """Guards against retries at several instances, each of which has to read the request.
+
+    With all instances running, one request was retried at a 25th of them.
+    """
     host = start_host(memory=200.0)
     host.now = 5_000 * MS
     arrive(host, 1, memory=20.0)
@@ -144,7 +153,7 @@
 
 
 def test_under_overload_all_rejected_clients_are_asked_not_to_retry() -> None:
-    """Round 50: at full size a retry costs a handshake and a reading at each server."""
+    """Guards against retries under overload: each costs a server a handshake and a reading."""
     host = start_host(memory=200.0)
     arrive(host, 1, memory=20.0)
     assert not actions_of(arrive(host, 2, memory=20.0), Reject)[0].no_retry
@@ -155,7 +164,7 @@
 
 
 def test_failed_runs_count_in_the_estimate_of_the_run_time() -> None:
-    """Incident i25c424: counting only the runs that succeeded, the estimate was a tenth of the truth."""
+    """Guards against an estimate from successful runs only: it was a tenth of the real run time (i25c424)."""
     host = start_host()
     occupy_cores(host)
     host.now = 900 * MS
--- a/tests/admission/test_controller_tenants.py
+++ b/tests/admission/test_controller_tenants.py
@@ -1,4 +1,4 @@
-"""Tenant quotas."""
+"""Quotas of tenants and the weight of requests over them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_a_tenant_beyond_its_quota_does_not_displace_the_rest() -> None:
-    """Round 52: one sent three times its quota and was served in full, the others to 0.62 of theirs."""
+    """Guards against serving a tenant that sends three times its quota in full: others got 0.62 of theirs."""
     host = start_host(
         tenants=TENANTS,
         over_quota_fraction=0.05,
@@ -24,14 +24,14 @@
     for request_id in range(1, 40):
         arrive(host, request_id, tenant=0)
     arrive(host, 50, tenant=1)
-    for request_id in range(1, 21):  # its own quota was admitted first
+    for request_id in range(1, 21):  # the requests within its quota start first
         host.finish(request_id)
     assert host.requests[50].place is Place.RUNNING
     assert host.count(Place.QUEUED)
 
 
 def test_the_last_tokens_are_kept_for_the_greatest_weight() -> None:
-    """Round 55: half of the class of most weight counted as beyond a quota that it never fills."""
+    """Guards against counting half of the class of greatest weight as over a quota that it never fills."""
     host = start_host(tenants=(Tenant("one", 40.0),), over_quota_fraction=0.1, replicas=20)
     for request_id in range(1, 31):
         arrive(host, request_id, IDEMPOTENT, tenant=0)
@@ -41,7 +41,7 @@
 
 
 def test_a_client_rejected_beyond_its_quota_is_asked_not_to_retry() -> None:
-    """Round 64: it is beyond its quota on every server, and a retry costs a handshake and a reading."""
+    """A tenant is over its quota on every server, so a retry only costs a handshake and a reading."""
     host = start_host(memory=200.0, tenants=(Tenant("none", 0.0), TENANTS[1]), over_quota_fraction=0.05)
     arrive(host, 1, memory=20.0, tenant=1)
     assert [action.no_retry for action in actions_of(arrive(host, 2, memory=20.0, tenant=1), Reject)] == [
--- a/tests/admission/test_policy_files.py
+++ b/tests/admission/test_policy_files.py
@@ -1,4 +1,4 @@
-"""The limits on the files of the decision module: size, purity, and which of them decide."""
+"""Limits on the files of the decision module: size, purity, and which files may hold decisions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cairnvane.admission import controller
 from cairnvane.admission.requests import RequestState
 
-POLICY_FILE_LINE_LIMIT = 340  # non-blank lines of one file: the operators limit their sum no longer
+POLICY_FILE_LINE_LIMIT = 340  # non-blank lines per file; their sum has no limit
 LINE_LENGTH_LIMIT = 110
 PACKAGE = Path(controller.__file__).parent
 ROOT = PACKAGE.parent.parent
@@ -27,19 +27,19 @@
 }
 OWN_PACKAGES = ("cairnvane.admission", "cairnvane.contract")
 IMPURE_BUILTINS = {"open", "print", "input", "exec", "eval", "__import__", "breakpoint"}
-# Files that hold no decision logic: constants, and what keeps account and measures.
+# Files without decision logic: constants, bookkeeping and estimators.
 DECLARATIONS = ("__init__.py", "parameters.py")
 BOOKKEEPING = ("estimators.py", "lifecycle.py", "requests.py")
 NOT_POLICY = DECLARATIONS + BOOKKEEPING
 DECLARING_STATEMENTS = (ast.Import, ast.ImportFrom, ast.Assign, ast.Expr)
 CHOICES = (ast.If, ast.IfExp, ast.Match, ast.For, ast.While, ast.Compare, ast.BoolOp, ast.Try, ast.Lambda)
-# Actions are decided in the policy alone; this file records those about requests.
+# Only policy files decide on actions; this file records the actions of requests.
 ACTION_RECORDER = "lifecycle.py"
 BOOKKEEPING_NUMBERS = {0, 1}
 
 
 def policy_files() -> list[Path]:
-    """The files that the deployment declares to hold the decision logic."""
+    """The files that the deployment lists as decision logic."""
     deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     return [ROOT / name for name in deployment["policy"]]
 
@@ -74,7 +74,7 @@
     assert "cairnvane.contract" in (docstring or "")
 
 
-def test_every_file_is_policy_or_known_to_decide_nothing() -> None:
+def test_every_file_is_a_policy_file_or_listed_as_not_policy() -> None:
     policy = {path.resolve() for path in policy_files()}
     not_policy = {(PACKAGE / name).resolve() for name in NOT_POLICY}
     assert not policy & not_policy
@@ -97,8 +97,8 @@
 
 
 @pytest.mark.parametrize("name", BOOKKEEPING)
-def test_bookkeeping_depends_on_no_policy_and_has_no_numbers_of_its_own(name: str) -> None:
-    """No file of it can make a decision by chance, by a threshold of its own, or by asking the policy."""
+def test_bookkeeping_imports_no_policy_and_has_no_thresholds(name: str) -> None:
+    """Bookkeeping makes no decision: not at random, by a threshold of its own, or by calling the policy."""
     imported = imported_modules(PACKAGE / name)
     assert not imported & {f"cairnvane.admission.{path.stem}" for path in policy_files()}
     assert "random" not in imported
@@ -110,8 +110,8 @@
     assert numbers - enumerated <= BOOKKEEPING_NUMBERS
 
 
-def test_each_action_is_recorded_without_a_choice() -> None:
-    """The recorders decide nothing: the action follows from the call, whatever the settings and estimates."""
+def test_actions_are_recorded_unconditionally() -> None:
+    """The recorders decide nothing: the action depends only on the call, not on settings or estimates."""
     module = ast.parse((PACKAGE / ACTION_RECORDER).read_text())
     recorders = [
         function
@@ -125,4 +125,4 @@
     ]
     assert len(recorders) >= 8
     choosing = [f.name for f in recorders if any(isinstance(node, CHOICES) for node in ast.walk(f))]
-    assert choosing == ["remove"]  # it frees the key of a request that never ran, as the contract defines
+    assert choosing == ["remove"]  # the contract requires it to forget the key of a request that never ran
--- a/tests/admission/test_properties.py
+++ b/tests/admission/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences against the four rules, which `SimulatedHost` asserts after every batch."""
+"""Random valid event sequences. `SimulatedHost` asserts the four rules after every batch."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from admission_helpers import CLASSES, KEYED, MS, Place, SimulatedHost, start_host
 from hypothesis import given
-from hypothesis import settings as tuned
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from cairnvane.contract.events import Arrival, DrainStarted, Outcome
@@ -17,7 +17,7 @@
 
 
 class Step(Enum):
-    """What happens to the host; each step has two numbers that choose among the possibilities."""
+    """Something that happens to the host. Each step has two random numbers that choose the details."""
 
     ARRIVE = auto()
     FINISH_RUN = auto()
@@ -54,45 +54,51 @@
 )
 
 
-def arrive_or_retry(host: SimulatedHost, request_id: int, originals: dict[int, int], x: int, y: int) -> None:
-    """A request arrives; a keyed one is a duplicate if the key that `y` chooses is remembered."""
-    class_index = x % len(CLASSES)
-    key = y % 7
+def arrive_or_retry(
+    host: SimulatedHost, request_id: int, originals: dict[int, int], first_choice: int, second_choice: int
+) -> None:
+    """A request arrives; a keyed one is a duplicate if the key that `second_choice` selects is remembered."""
+    class_index = first_choice % len(CLASSES)
+    key = second_choice % 7
     original = originals.get(key) if class_index == KEYED else None
     original = original if original in host.remembered_keys else None
-    time_left = None if x % 2 else (50 + y * 3) * MS
-    queue_delay = min(host.now, (y % 50) * 10 * MS)
-    memory = 5.0 + x % 20
-    cost = 1_000 + y
+    time_left = None if first_choice % 2 else (50 + second_choice * 3) * MS
+    queue_delay = min(host.now, (second_choice % 50) * 10 * MS)
+    memory = 5.0 + first_choice % 20
+    cost = 1_000 + second_choice
     host.send(Arrival(request_id, class_index, queue_delay, time_left, memory, cost, duplicate_of=original))
     if request_id in host.remembered_keys:
         originals[key] = request_id
 
 
-@tuned(max_examples=60, derandomize=True, deadline=None)
+@hypothesis_settings(max_examples=60, derandomize=True, deadline=None)
 @given(SETUP, st.lists(STEP, min_size=30, max_size=150))
-def test_the_four_rules_hold(setup: dict[str, Any], steps: list[tuple[Step, int, int]]) -> None:
+def test_the_four_rules_hold_for_random_events(
+    setup: dict[str, Any], steps: list[tuple[Step, int, int]]
+) -> None:
     host = start_host(**setup)
     request_id = 0
-    originals: dict[int, int] = {}  # key -> the request that was remembered with it
-    for step, x, y in steps:
+    originals: dict[int, int] = {}  # key -> the request that is remembered with it
+    for step, first_choice, second_choice in steps:
         running = host.ids(Place.RUNNING)
         calling = host.ids(Place.CALLING)
         unanswered = [number for number, request in host.requests.items() if not request.answered]
         if step is Step.ARRIVE:
             request_id += 1
-            arrive_or_retry(host, request_id, originals, x, y)
+            arrive_or_retry(host, request_id, originals, first_choice, second_choice)
         elif step is Step.FINISH_RUN and running:
-            host.finish(running[x % len(running)], Outcome.ERROR if y % 5 == 0 else Outcome.OK)
+            host.finish(
+                running[first_choice % len(running)], Outcome.ERROR if second_choice % 5 == 0 else Outcome.OK
+            )
         elif step is Step.REQUEST_CALL and running:
-            host.request_call(running[x % len(running)])
+            host.request_call(running[first_choice % len(running)])
         elif step is Step.FINISH_CALL and calling:
-            host.finish_call(calling[x % len(calling)], OUTCOMES[y % 5])
+            host.finish_call(calling[first_choice % len(calling)], OUTCOMES[second_choice % 5])
         elif step is Step.DISCONNECT and unanswered:
-            host.disconnect(unanswered[x % len(unanswered)])
+            host.disconnect(unanswered[first_choice % len(unanswered)])
         elif step is Step.ADVANCE:
-            host.advance((1 + y) * MS)
-        elif step is Step.DRAIN and host.drain_at is None and y < 100:
+            host.advance((1 + second_choice) * MS)
+        elif step is Step.DRAIN and host.drain_at is None and second_choice < 100:
             host.send(DrainStarted(5_000 * MS))
     host.advance(6_000 * MS)
     assert all(request.answered for request in host.requests.values())
--- a/tests/admission/test_settings.py
+++ b/tests/admission/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings out of range are reported by name."""
+"""Errors for settings out of range contain the name of the setting."""
 
 from __future__ import annotations
 
@@ -39,16 +39,16 @@
 
 
 @pytest.mark.parametrize(
-    ("given", "field"),
+    ("passed", "field"),
     [
         ({}, "cores"),
         ({"cores": 2}, "classes"),
         ({"cores": 2, "classes": CLASSES}, "memory"),
     ],
 )
-def test_missing_settings_name_the_field(given: dict[str, Any], field: str) -> None:
+def test_missing_settings_name_the_field(passed: dict[str, Any], field: str) -> None:
     with pytest.raises(ValueError, match=field):
-        Settings(**given)
+        Settings(**passed)
 
 
 def test_a_class_without_times_names_the_field() -> None:
--- a/tests/admission_helpers.py
+++ b/tests/admission_helpers.py
@@ -1,4 +1,4 @@
-"""Settings, and a simulated host that checks what a controller may do, for the tests of admission."""
+"""Settings and a simulated host for the admission tests; the host checks every action of a controller."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 MS = 1_000
 IDEMPOTENT, KEYED, NON_IDEMPOTENT = 0, 1, 2
-SLACK = 60 * MS  # an answer this long after its deadline still counts
+ANSWER_TOLERANCE = 60 * MS  # tolerated delay of an answer after its deadline
 CLASSES = (
     RequestClass("read", latency_objective=1_000 * MS, client_timeout=3_000 * MS, degraded_fraction=0.5),
     RequestClass(
@@ -79,7 +79,7 @@
 
 
 def actions_of(actions: list[Action], kind: type) -> list[Any]:
-    """The actions of one kind."""
+    """Return the actions of one type."""
     return [action for action in actions if type(action) is kind]
 
 
@@ -89,7 +89,7 @@
 
 
 class Place(Enum):
-    """Where a request is, as its host sees it."""
+    """The state of a request at its host."""
 
     QUEUED = "queued"
     AWAITING_ORIGINAL = "awaiting_original"
@@ -106,7 +106,7 @@
 
 @dataclass
 class HostedRequest:
-    """What the host knows of a request."""
+    """The host's record of a request."""
 
     class_index: int
     arrived_at: int
@@ -116,17 +116,17 @@
     has_run: bool = False
     answered: bool = False
     original: int | None = None
-    call_may_have_run: bool = False  # and has an effect
+    call_may_have_run: bool = False  # and the call has an effect
 
     def end(self) -> None:
-        """The request was answered and has left the host."""
+        """Record that the request was answered and has ended."""
         self.answered = True
         self.place = Place.ENDED
 
 
 @dataclass
 class SimulatedHost:
-    """Carries out actions as a service instance would, and asserts the four rules."""
+    """Carries out actions like a service instance, and asserts the four rules of the controller."""
 
     controller: Controller
     settings: Settings
@@ -142,7 +142,7 @@
     actions: list[Action] = field(default_factory=list)
 
     def send(self, *events: Event) -> list[Action]:
-        """One batch, with what earlier actions brought about and the timers that are due."""
+        """Deliver a batch of these events, the results of earlier actions and the timers that are due."""
         due = [timer for timer in self.timers if timer[0] <= self.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.now]
         fired = (TimerFired(token, cpu_busy=self.cpu_busy, runnable=self.runnable) for _, token in due)
@@ -231,7 +231,7 @@
         return self.settings.classes[request.class_index].retry_semantics
 
     def check(self) -> None:
-        """Assert the limits after a batch, and that no request is past its deadline."""
+        """Assert all limits, and that no unanswered request is past its deadline."""
         self.remembered_keys = {key: end for key, end in self.remembered_keys.items() if end > self.now}
         settings = self.settings
         queued = self._memory(WITH_QUEUE_MEMORY)
@@ -247,21 +247,21 @@
             assert self.count(Place.CALLING) <= max(1.0, settings.dependency_quota), "dependency quota"
         for request_id, request in self.requests.items():
             deadline = request.deadline if self.stop_at is None else min(request.deadline, self.stop_at)
-            assert request.answered or self.now <= deadline + SLACK, f"request {request_id} lost"
+            assert request.answered or self.now <= deadline + ANSWER_TOLERANCE, f"request {request_id} lost"
 
     def _memory(self, places: tuple[Place, ...]) -> float:
         return sum(request.memory for request in self.requests.values() if request.place in places)
 
     def count(self, place: Place) -> int:
-        """How many requests are in this place."""
+        """The number of requests in this state."""
         return sum(request.place is place for request in self.requests.values())
 
     def ids(self, *places: Place) -> list[int]:
-        """Requests in these places, in order of arrival."""
+        """The ids of requests in these states, in order of arrival."""
         return [number for number, request in self.requests.items() if request.place in places]
 
     def finish(self, request_id: int, outcome: Outcome = Outcome.OK) -> list[Action]:
-        """A run ends, and is replayed to the duplicates of its request."""
+        """End a run, and replay its result to the duplicates of its request."""
         self.requests[request_id].end()
         for duplicate in self.ids(Place.AWAITING_ORIGINAL):
             if self.requests[duplicate].original == request_id:
@@ -270,12 +270,12 @@
         return self.send(RunFinished(request_id, outcome))
 
     def finish_after(self, request_id: int, duration: int) -> list[Action]:
-        """A run ends well after so long."""
+        """End a run successfully after this duration."""
         self.requests[request_id].end()
         return self.send(RunFinished(request_id, Outcome.OK, duration))
 
     def request_call(self, request_id: int) -> list[Action]:
-        """A run reaches a call."""
+        """Make a run reach its call."""
         request = self.requests[request_id]
         request.place = Place.AWAITING_CALL
         request.call_may_have_run = False
@@ -285,7 +285,7 @@
         return self.send(CallRequested(request_id))
 
     def finish_call(self, request_id: int, outcome: Outcome) -> list[Action]:
-        """A call ends."""
+        """End a call with this outcome."""
         request = self.requests[request_id]
         request.place = Place.RUNNING if outcome is Outcome.OK else Place.AWAITING_CALL
         has_effect = self._retry_semantics(request) is not RetrySemantics.IDEMPOTENT
@@ -293,7 +293,7 @@
         return self.send(CallFinished(request_id, outcome))
 
     def disconnect(self, request_id: int) -> list[Action]:
-        """A client gives up."""
+        """Disconnect the client of a request."""
         request = self.requests[request_id]
         request.answered = True
         was_at_call = request.place in AT_CALL
@@ -304,7 +304,7 @@
         return self.send(ClientDisconnected(request_id))
 
     def advance(self, duration: int) -> None:
-        """Move the clock, firing the timers on the way."""
+        """Advance the clock, firing the timers that become due."""
         end = self.now + duration
         while self.timers and min(self.timers)[0] <= end:
             self.now = max(self.now, min(self.timers)[0])
@@ -313,9 +313,9 @@
 
 
 def start_host(seed: int = 1, **changes: Any) -> SimulatedHost:
-    """A host and its controller, just started."""
-    chosen = settings(**changes)
-    host = SimulatedHost(Controller(chosen, seed, 0), chosen)
+    """Return a host with a newly started controller."""
+    instance_settings = settings(**changes)
+    host = SimulatedHost(Controller(instance_settings, seed, 0), instance_settings)
     host.send()
     return host
 
@@ -327,11 +327,11 @@
     memory: float = 10.0,
     **fields: Any,
 ) -> list[Action]:
-    """A request arrives."""
+    """Deliver the arrival of a request."""
     return host.send(Arrival(request_id, class_index, memory=memory, **fields))
 
 
 def occupy_cores(host: SimulatedHost, count: int = 4, first: int = 1) -> None:
-    """Have this many requests arrive: on four cores the first four run."""
+    """Deliver this many arrivals; on four cores the first four run."""
     for request_id in range(first, first + count):
         arrive(host, request_id)
--- a/tests/neutral.py
+++ b/tests/neutral.py
@@ -1,8 +1,7 @@
-"""Forms of events, actions and settings that do not depend on what these are called in the code.
+"""Serialised forms of events, actions and settings that do not depend on the names in the code.
 
-The recordings under `tests/data` hold these forms: labels that stand here as literals, and field values by
-position. So a recording made by one version can be compared with what another version does, whatever has
-been renamed in between.
+The recordings under `tests/data` hold these forms: labels, which are literals of this module, and field
+values by position. So recordings stay comparable between versions even if classes or fields are renamed.
 """
 
 from __future__ import annotations
@@ -48,10 +47,10 @@
     Settings,
 )
 
-Plain = None | bool | int | float | str
-Form = list[Plain]
+Scalar = None | bool | int | float | str
+Form = list[Scalar]
 
-OUTCOMES: dict[Outcome, str] = {
+OUTCOME_LABELS: dict[Outcome, str] = {
     Outcome.OK: "ok",
     Outcome.ERROR: "error",
     Outcome.TIMEOUT: "timeout",
@@ -61,23 +60,23 @@
     Outcome.UNREACHED: "unreached",
     Outcome.NEVER_STARTED: "moot",
 }
-REPEATS: dict[RetrySemantics, str] = {
+RETRY_SEMANTICS_LABELS: dict[RetrySemantics, str] = {
     RetrySemantics.IDEMPOTENT: "safe",
     RetrySemantics.IDEMPOTENCY_KEYED: "keyed",
     RetrySemantics.NON_IDEMPOTENT: "unsafe",
 }
-HALTS: dict[CancelMode, str] = {
+CANCEL_MODE_LABELS: dict[CancelMode, str] = {
     CancelMode.NONE: "none",
     CancelMode.DISCARD: "drop",
     CancelMode.PAUSE: "pause",
 }
-SIGNALS: dict[LoadSignal, str] = {
+LOAD_SIGNAL_LABELS: dict[LoadSignal, str] = {
     LoadSignal.NONE: "none",
     LoadSignal.LEVEL: "level",
     LoadSignal.CREDIT: "credit",
     LoadSignal.WEIGHT: "weight",
 }
-DOWNSTREAMS: dict[DependencyKind, str] = {
+DEPENDENCY_LABELS: dict[DependencyKind, str] = {
     DependencyKind.NONE: "none",
     DependencyKind.SHARED: "shared",
     DependencyKind.TIER: "tier",
@@ -112,7 +111,7 @@
 
 
 def event_form(event: Event) -> Form:
-    """The event's label and its field values."""
+    """Return the event's label and field values."""
     return [EVENT_LABELS[type(event)], *_event_values(event)]
 
 
@@ -124,13 +123,13 @@
     if isinstance(event, RunAdopted):
         return [event.request_id, event.class_index, event.time_left, event.lifetime, event.memory]
     if isinstance(event, RunFinished):
-        return [event.request_id, OUTCOMES[event.outcome], event.duration]
+        return [event.request_id, OUTCOME_LABELS[event.outcome], event.duration]
     if isinstance(event, ClientDisconnected):
         return [event.request_id]
     if isinstance(event, CallRequested):
         return [event.request_id]
     if isinstance(event, CallFinished):
-        return [event.request_id, OUTCOMES[event.outcome], event.duration]
+        return [event.request_id, OUTCOME_LABELS[event.outcome], event.duration]
     if isinstance(event, DrainStarted):
         return [event.time_left]
     if isinstance(event, TimerFired):
@@ -155,7 +154,7 @@
 
 
 def action_form(action: Action) -> Form:
-    """The action's label and its field values."""
+    """Return the action's label and field values."""
     return [ACTION_LABELS[type(action)], *_action_values(action)]
 
 
@@ -176,27 +175,27 @@
         return [action.due_at, action.token]
     if isinstance(action, LogMessage):
         return [action.message]
-    return [action.request_id]  # the type checker knows that all others have only this
+    return [action.request_id]  # the only field of all other actions
 
 
-def class_form(cls: RequestClass) -> Form:
-    """A class's field values."""
+def class_form(request_class: RequestClass) -> Form:
+    """Return the field values of a request class."""
     return [
-        cls.name,
-        cls.latency_objective,
-        cls.client_timeout,
-        cls.priority_weight,
-        cls.late_fraction,
-        REPEATS[cls.retry_semantics],
-        cls.retry_window,
-        cls.degraded_fraction,
-        cls.objective_per_cost,
+        request_class.name,
+        request_class.latency_objective,
+        request_class.client_timeout,
+        request_class.priority_weight,
+        request_class.late_fraction,
+        RETRY_SEMANTICS_LABELS[request_class.retry_semantics],
+        request_class.retry_window,
+        request_class.degraded_fraction,
+        request_class.objective_per_cost,
     ]
 
 
 def settings_form(settings: Settings) -> list[Form]:
-    """The classes, the tenants, and the other field values of settings."""
-    classes = [class_form(cls) for cls in settings.classes]
+    """Return the forms of the classes and tenants, and the other field values of the settings."""
+    classes = [class_form(request_class) for request_class in settings.classes]
     tenants: list[Form] = [[tenant.name, tenant.quota] for tenant in settings.tenants]
     return [
         *classes,
@@ -208,9 +207,9 @@
             settings.replicas,
             settings.running_memory_factor,
             settings.key_memory,
-            HALTS[settings.cancel_mode],
-            SIGNALS[settings.load_signal],
-            DOWNSTREAMS[settings.dependency],
+            CANCEL_MODE_LABELS[settings.cancel_mode],
+            LOAD_SIGNAL_LABELS[settings.load_signal],
+            DEPENDENCY_LABELS[settings.dependency],
             settings.dependency_quota,
             settings.dependency_window,
             settings.abandoned_call_time,
--- a/tests/recordings/test_golden_bytes.py
+++ b/tests/recordings/test_golden_bytes.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 import pytest
-from neutral import OUTCOMES, Form, action_form, event_form, settings_form
+from neutral import OUTCOME_LABELS, Form, action_form, event_form, settings_form
 
 from cairnvane.claims import records as ledger_record
 from cairnvane.claims.states import Step
@@ -420,7 +420,7 @@
         self.form: Form = []
 
     def told(self, outcome: Outcome, body: bytes, took_us: int) -> None:
-        self.form = [OUTCOMES[outcome], body.hex()]
+        self.form = [OUTCOME_LABELS[outcome], body.hex()]
         self.came.set()
 
 
@@ -536,7 +536,9 @@
         "links": links,
         "answers": answers,
         "heard": notices.heard,
-        "ends": [[word, OUTCOMES[outcome]] for word, outcome in executions.OUTCOMES_BY_END_CODE.items()],
+        "ends": [
+            [word, OUTCOME_LABELS[outcome]] for word, outcome in executions.OUTCOMES_BY_END_CODE.items()
+        ],
     }
 
 
--- a/tests/recordings/test_recorded_actions.py
+++ b/tests/recordings/test_recorded_actions.py
@@ -14,7 +14,7 @@
 
 import pytest
 from neutral import ACTION_LABELS, EVENT_LABELS
-from seeded_host import MS, NO_CALLER_COMES_BACK, SECOND, Recording, Scenario, SeededHost
+from seeded_host import MS, NEW_CLIENT_EACH_TIME, SECOND, Recording, Scenario, SeededHost
 
 from cairnvane.contract.actions import LogMessage
 from cairnvane.contract.settings import (
@@ -79,7 +79,7 @@
         replace(PLAIN, cancel_mode=CancelMode.NONE, max_retry_after=0),
         seed=11,
         events=EVENTS,
-        work=15 * MS,
+        mean_work=15 * MS,
         load=0.9,
     ),
     "level, drop, shared calls": Scenario(
@@ -92,7 +92,7 @@
         ),
         seed=12,
         events=EVENTS,
-        work=15 * MS,
+        mean_work=15 * MS,
         load=0.9,
         call_chance=0.5,
     ),
@@ -108,10 +108,10 @@
         ),
         seed=13,
         events=EVENTS,
-        work=20 * MS,
+        mean_work=20 * MS,
         load=1.0,
         call_chance=0.4,
-        callers=60,
+        clients=60,
     ),
     "weight, cold start, new callers": Scenario(
         replace(
@@ -125,10 +125,10 @@
         ),
         seed=14,
         events=EVENTS,
-        work=30 * MS,
+        mean_work=30 * MS,
         load=1.1,
-        callers=NO_CALLER_COMES_BACK,
-        life=7 * SECOND,
+        clients=NEW_CLIENT_EACH_TIME,
+        mean_incarnation_time=7 * SECOND,
         drains=False,
     ),
     "share below one call, little memory": Scenario(
@@ -146,11 +146,11 @@
         ),
         seed=15,
         events=EVENTS,
-        work=10 * MS,
+        mean_work=10 * MS,
         load=0.8,
         call_chance=0.15,
         call_time=40 * MS,
-        failing=0.1,
+        failure_chance=0.1,
     ),
     "one core, late worth, tenants, cold": Scenario(
         replace(
@@ -170,7 +170,7 @@
         ),
         seed=16,
         events=EVENTS,
-        work=8 * MS,
+        mean_work=8 * MS,
         load=1.3,
         call_chance=0.3,
     ),
@@ -185,14 +185,14 @@
         ),
         seed=17,
         events=EVENTS,
-        work=30 * MS,
+        mean_work=30 * MS,
         load=1.2,
         call_chance=0.5,
         call_time=6 * MS,
-        callers=2_000,
-        unread=0.5,
-        lost_timers=0.01,
-        life=30 * SECOND,
+        clients=2_000,
+        delayed_read_chance=0.5,
+        lost_timer_chance=0.01,
+        mean_incarnation_time=30 * SECOND,
     ),
 }
 
--- a/tests/seeded_host.py
+++ b/tests/seeded_host.py
@@ -1,7 +1,7 @@
-"""A simulated host that generates requests, and reacts to a controller's actions as an instance would.
+"""A simulated host that generates requests and reacts to a controller's actions like a service instance.
 
-All that it does follows from a scenario and the actions: two controllers that decide alike get the same
-events to the last one. Time is simulated, and covers several incarnations of the instance.
+The host is deterministic: its events depend only on the scenario and on the controller's actions, so two
+controllers with the same decisions get the same events. Simulated time covers several incarnations.
 """
 
 from __future__ import annotations
@@ -49,40 +49,40 @@
 from cairnvane.contract.settings import RequestClass, RetrySemantics, Settings
 
 MS, SECOND = 1_000, 1_000_000
-# A digest of all so far is taken after each so many events: the first one that differs shows where.
+# Number of events between recorded digests, which locate the first difference of two recordings.
 CHECKPOINT_EVENTS = 2_000
 CHECKPOINT_DIGITS = 12
-NO_CALLER_COMES_BACK = 1 << 20
-# An event about a request that has ended or was never announced is inserted with this probability.
+NEW_CLIENT_EACH_TIME = 1 << 20
+# Probability per step of an event about a request that has ended or never arrived.
 STRAY_CHANCE = 0.003
-# A keyed request may be a duplicate of one of so many remembered last.
+# A keyed request may be a duplicate of one of this many most recently remembered ones.
 RECENT_KEYS = 40
-# Most incarnations are notified so long before they are stopped; the others are killed.
+# Probability that an incarnation gets a drain notice (else it is killed), and time from notice to stop.
 DRAIN_CHANCE = 0.6
-NOTICE = 3 * SECOND
+DRAIN_NOTICE = 3 * SECOND
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """The configuration of an instance, and its load."""
+    """The configuration of an instance and its load."""
 
     settings: Settings
     seed: int
     events: int
-    work: int  # the mean work of a request
-    load: float  # arrivals as a multiple of what the cores can serve, before its variation in time
+    mean_work: int  # mean run time of a request on an idle core
+    load: float  # mean arrival rate relative to the capacity of the cores, before the variation over time
     call_chance: float = 0.0
     call_time: int = 20 * MS
-    failing: float = 0.02  # runs that fail, except in periods in which most do
-    callers: int = 20
-    unread: float = 0.1  # requests that waited long before they were read
-    lost_timers: float = 0.0  # timers that never fire
-    life: int = 7 * SECOND  # how long an incarnation lasts
-    drains: bool = True  # most incarnations are notified before they are stopped
+    failure_chance: float = 0.02  # probability that a run fails outside of fault periods
+    clients: int = 20
+    delayed_read_chance: float = 0.1  # probability that a request waits long before it is read
+    lost_timer_chance: float = 0.0  # probability that a timer never fires
+    mean_incarnation_time: int = 7 * SECOND  # mean time that an incarnation lasts
+    drains: bool = True  # whether incarnations may get a drain notice before they stop
 
 
 class Place(Enum):
-    """Where a request is."""
+    """The state of a request at the host."""
 
     QUEUED = 0
     RUNNING = 1
@@ -93,7 +93,7 @@
 
 
 class PlannedKind(Enum):
-    """A kind of event that is planned for some time."""
+    """A kind of event that is planned for a future time."""
 
     ARRIVAL = 0
     RUN_END = 1
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True)
 class HostedRequest:
-    """A request as its host knows it."""
+    """The host's record of a request."""
 
     id: int
     class_index: int
@@ -119,12 +119,12 @@
     original: int | None = None
     place: Place = Place.QUEUED
     answered: bool = False
-    generation: int = 0  # what was planned for an earlier generation does not happen
+    generation: int = 0  # events planned for an earlier generation are dropped
 
 
 @dataclass(slots=True)
 class Recording:
-    """The events that a controller was given, and the actions that it took."""
+    """Digests and counts of the events that a controller got and of its actions."""
 
     digest: str = ""
     checkpoints: list[str] = field(default_factory=list)
@@ -156,9 +156,9 @@
         self._plan_count = 0
         self._requests: dict[int, HostedRequest] = {}
         self._remembered: dict[int, int] = {}  # request -> expiry
-        self._recent_keys: deque[int] = deque(maxlen=RECENT_KEYS)  # remembered last
+        self._recent_keys: deque[int] = deque(maxlen=RECENT_KEYS)  # the most recently remembered
         self._running = 0
-        self._waiting: dict[int, list[HostedRequest]] = {}  # original -> duplicates that wait for its result
+        self._waiting: dict[int, list[HostedRequest]] = {}  # original -> duplicates waiting for its result
         self._next_id = 1
         self._incarnations = 0
         self._pending: list[Event] = []
@@ -168,7 +168,7 @@
         self._start_incarnation()
 
     def record(self) -> Recording:
-        """Run the whole scenario."""
+        """Run the whole scenario and return its recording."""
         recording = self._recording
         while self._count < self._scenario.events:
             self._step()
@@ -178,9 +178,9 @@
     # --- incarnations
 
     def _start_incarnation(self) -> None:
-        """A new controller; of an earlier incarnation, keyed runs and keys continue."""
+        """Start a new controller, which takes over keyed runs and keys of the previous incarnation."""
         running = [request for request in self._requests.values() if request.place is Place.RUNNING]
-        live_keys = {number: end for number, end in self._remembered.items() if end > self._now}
+        live_keys = {request_id: end for request_id, end in self._remembered.items() if end > self._now}
         self._requests = {}
         self._planned = []
         self._pending = []
@@ -202,9 +202,9 @@
         if live_keys:
             self._pending.append(KeysRestored(len(live_keys), max(live_keys.values()) - self._now))
         self._plan(PlannedKind.ARRIVAL, 0)
-        length = int(self._scenario.life * self._random.uniform(0.7, 1.3))
+        length = int(self._scenario.mean_incarnation_time * self._random.uniform(0.7, 1.3))
         if self._scenario.drains and self._random.random() < DRAIN_CHANCE:
-            self._plan(PlannedKind.DRAIN, length - NOTICE)
+            self._plan(PlannedKind.DRAIN, length - DRAIN_NOTICE)
         self._plan(PlannedKind.RESTART, length)
 
     def _adopt(self, request: HostedRequest, until: int) -> None:
@@ -225,43 +225,45 @@
 
     # --- time
 
-    def _plan(self, kind: PlannedKind, after: int, number: int = 0, generation: int = 0) -> None:
+    def _plan(self, kind: PlannedKind, delay: int, subject_id: int = 0, generation: int = 0) -> None:
         self._plan_count += 1
-        heapq.heappush(self._planned, (self._now + max(0, after), self._plan_count, kind, number, generation))
+        heapq.heappush(
+            self._planned, (self._now + max(0, delay), self._plan_count, kind, subject_id, generation)
+        )
 
     def _step(self) -> None:
-        """All that happens within a round, in one batch."""
-        at = self._planned[0][0]
-        self._now = max(self._now, at)
+        """Deliver all events of one round in one batch."""
+        planned_at = self._planned[0][0]
+        self._now = max(self._now, planned_at)
         if self._random.random() < 0.5:
-            self._now += self._settings.min_round_interval  # what happens within it is reported together
+            self._now += self._settings.min_round_interval  # events within this interval share a batch
         events, self._pending = self._pending, []
         while self._planned and self._planned[0][0] <= self._now:
-            _, _, kind, number, generation = heapq.heappop(self._planned)
+            _, _, kind, subject_id, generation = heapq.heappop(self._planned)
             if kind is PlannedKind.RESTART:
                 self._start_incarnation()
                 events = self._pending
                 self._pending = []
             else:
-                events += self._events_of(kind, number, generation)
+                events += self._events_of(kind, subject_id, generation)
         if self._random.random() < STRAY_CHANCE:
-            events.append(self._stray())
-        self._deliver(events)
+            events.append(self._stray_event())
+        self._deliver_events(events)
 
-    def _stray(self) -> Event:
-        number = self._random.choice((0, self._next_id + 1_000, max(1, self._next_id // 2)))
-        if number in self._requests:
-            number = 0
+    def _stray_event(self) -> Event:
+        request_id = self._random.choice((0, self._next_id + 1_000, max(1, self._next_id // 2)))
+        if request_id in self._requests:
+            request_id = 0
         outcome = self._random.choice(CALL_FAILURES)
-        strays = (
-            ClientDisconnected(number),
-            RunFinished(number, outcome),
-            CallRequested(number),
-            CallFinished(number, outcome),
+        stray_events = (
+            ClientDisconnected(request_id),
+            RunFinished(request_id, outcome),
+            CallRequested(request_id),
+            CallFinished(request_id, outcome),
         )
-        return self._random.choice(strays)
+        return self._random.choice(stray_events)
 
-    def _deliver(self, events: list[Event]) -> None:
+    def _deliver_events(self, events: list[Event]) -> None:
         for event in events:
             self._recording.events[EVENT_LABELS[type(event)]] += 1
             self._count += 1
@@ -277,14 +279,14 @@
 
     # --- events
 
-    def _events_of(self, kind: PlannedKind, number: int, generation: int) -> list[Event]:
+    def _events_of(self, kind: PlannedKind, subject_id: int, generation: int) -> list[Event]:
         if kind is PlannedKind.ARRIVAL:
             return [self._arrive()]
         if kind is PlannedKind.TIMER:
-            return [self._fire(number)]
+            return [self._timer_event(subject_id)]
         if kind is PlannedKind.DRAIN:
-            return [DrainStarted(NOTICE - self._random.randrange(SECOND))]
-        request = self._requests.get(number)
+            return [DrainStarted(DRAIN_NOTICE - self._random.randrange(SECOND))]
+        request = self._requests.get(subject_id)
         if request is None:
             return []
         if kind is PlannedKind.DISCONNECT:
@@ -292,65 +294,67 @@
         if generation != request.generation:
             return []
         if kind is PlannedKind.RUN_END:
-            return self._end(request, self._run_outcome())
+            return self._end_run(request, self._run_outcome())
         if kind is PlannedKind.CANCELLED:
-            return self._end(request, Outcome.CANCELLED)
+            return self._end_run(request, Outcome.CANCELLED)
         if kind is PlannedKind.REPLAYED:
-            return self._end(request, self._run_outcome())
+            return self._end_run(request, self._run_outcome())
         if kind is PlannedKind.CALL_REQUEST:
             return self._request_call(request)
         return self._end_call(request)
 
     def _is_fault_period(self) -> bool:
-        """One second in twenty-five, most runs fail and calls take long."""
+        """Whether this is the one second in 25 in which most runs fail and calls take long."""
         return self._now // SECOND % 25 == 13
 
     def _arrival_gap(self) -> int:
-        """Low load and overload alternate, with bursts in between."""
+        """Time to the next arrival. Low load and overload alternate, with bursts in between."""
         phase = self._now // SECOND % 20
         load = self._scenario.load * (0.4 if phase < 7 else 1.0 if phase < 13 else 2.0 if phase < 19 else 5.0)
-        mean = self._scenario.work / (self._settings.cores * load)
+        mean = self._scenario.mean_work / (self._settings.cores * load)
         return max(1, int(self._random.expovariate(1 / mean)))
 
     def _arrive(self) -> Event:
         rng = self._random
         self._plan(PlannedKind.ARRIVAL, self._arrival_gap())
-        number, self._next_id = self._next_id, self._next_id + 1
+        request_id, self._next_id = self._next_id, self._next_id + 1
         index = rng.randrange(len(self._settings.classes))
-        cls = self._settings.classes[index]
-        work = max(1, int(rng.expovariate(1 / self._scenario.work)))
-        request = HostedRequest(number, index, rng.choice((8.0, 24.5, 60.0)), work, False)
+        request_class = self._settings.classes[index]
+        work = max(1, int(rng.expovariate(1 / self._scenario.mean_work)))
+        request = HostedRequest(request_id, index, rng.choice((8.0, 24.5, 60.0)), work, False)
         request.needs_call = rng.random() < self._scenario.call_chance
-        event = Arrival(number, index, memory=request.memory)
+        event = Arrival(request_id, index, memory=request.memory)
         event.queue_delay = (
             rng.randrange(5 * MS)
-            if rng.random() < 1 - self._scenario.unread
-            else rng.randrange(cls.latency_objective // 3)
+            if rng.random() < 1 - self._scenario.delayed_read_chance
+            else rng.randrange(request_class.latency_objective // 3)
         )
         event.is_retry = rng.random() < 0.15
         if rng.random() < 0.6:
-            part = rng.choice((1.0, 1.0, 0.6)) if not event.is_retry else rng.random()
-            event.time_left = int(part * cls.client_timeout)
+            timeout_fraction = rng.choice((1.0, 1.0, 0.6)) if not event.is_retry else rng.random()
+            event.time_left = int(timeout_fraction * request_class.client_timeout)
         if rng.random() < 0.5:
             event.cost = int(work * rng.uniform(0.8, 1.2))
-        event.client = rng.randrange(self._scenario.callers)
+        event.client = rng.randrange(self._scenario.clients)
         event.tenant = rng.randrange(len(self._settings.tenants) + 1) if self._settings.tenants else 0
-        if cls.retry_semantics is RetrySemantics.IDEMPOTENCY_KEYED:
+        if request_class.retry_semantics is RetrySemantics.IDEMPOTENCY_KEYED:
             self._choose_key(event, request)
-        self._requests[number] = request
+        self._requests[request_id] = request
         if rng.random() < 0.2:
-            self._plan(PlannedKind.DISCONNECT, rng.randrange(cls.client_timeout // 3), number)
+            self._plan(PlannedKind.DISCONNECT, rng.randrange(request_class.client_timeout // 3), request_id)
         return event
 
     def _choose_key(self, event: Arrival, request: HostedRequest) -> None:
-        """Some keyed requests are duplicates of recent ones, and some keys can't be stored at once."""
-        candidates = [number for number in self._recent_keys if self._remembered.get(number, 0) > self._now]
+        """Make some keyed requests duplicates of recent ones, and delay the storage of some keys."""
+        candidates = [
+            request_id for request_id in self._recent_keys if self._remembered.get(request_id, 0) > self._now
+        ]
         if candidates and self._random.random() < 0.25:
             event.duplicate_of = request.original = self._random.choice(candidates)
         elif self._random.random() < 0.03:
             event.storage_delay = self._random.randrange(1, SECOND)
 
-    def _fire(self, token: int) -> Event:
+    def _timer_event(self, token: int) -> Event:
         rng = self._random
         running = self._running
         event = TimerFired(token)
@@ -373,15 +377,15 @@
         return [disconnected]
 
     def _run_outcome(self) -> Outcome:
-        failing = 0.8 if self._is_fault_period() else self._scenario.failing
+        failing = 0.8 if self._is_fault_period() else self._scenario.failure_chance
         if self._random.random() >= failing:
             return Outcome.OK
         return self._random.choice((Outcome.ERROR, Outcome.ERROR, *RUN_OUTCOMES[1:]))
 
-    def _end(self, request: HostedRequest, outcome: Outcome) -> list[Event]:
-        """A run ends, and with it the duplicates that wait for its result."""
+    def _end_run(self, request: HostedRequest, outcome: Outcome) -> list[Event]:
+        """End a run and the duplicates that wait for its result."""
         self._move(request, Place.ENDED)
-        duration = int(self._random.uniform(0.5, 2.0) * self._scenario.work)
+        duration = int(self._random.uniform(0.5, 2.0) * self._scenario.mean_work)
         events: list[Event] = [RunFinished(request.id, outcome, duration)]
         for duplicate in self._waiting.pop(request.id, []):
             if duplicate.place is Place.AWAITING_ORIGINAL:
@@ -412,7 +416,7 @@
     # --- actions
 
     def _run(self, request: HostedRequest) -> None:
-        """It runs on the cores; the more requests do, the longer it takes."""
+        """Run a request on the cores; it takes longer the more requests run."""
         self._move(request, Place.RUNNING)
         duration = int(request.work_left * max(1.0, self._running / self._settings.cores))
         if request.needs_call:
@@ -425,17 +429,17 @@
             request.generation,
         )
 
-    def _move(self, request: HostedRequest, to: Place) -> None:
-        """Its place changes, and nothing that was planned for it counts any more."""
-        self._running += (to is Place.RUNNING) - (request.place is Place.RUNNING)
-        request.place = to
+    def _move(self, request: HostedRequest, new_place: Place) -> None:
+        """Change a request's state, which invalidates the events planned for it."""
+        self._running += (new_place is Place.RUNNING) - (request.place is Place.RUNNING)
+        request.place = new_place
         request.generation += 1
-        if to is Place.ENDED:
+        if new_place is Place.ENDED:
             del self._requests[request.id]
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            if self._scenario.lost_timers and self._random.random() < self._scenario.lost_timers:
+            if self._scenario.lost_timer_chance and self._random.random() < self._scenario.lost_timer_chance:
                 return
             delay = self._random.randrange(2 * MS)
             self._plan(PlannedKind.TIMER, max(action.due_at - self._now, 1) + delay, action.token)
@@ -475,7 +479,7 @@
             self._move(request, Place.ENDED)
 
     def _cancel(self, request: HostedRequest) -> None:
-        """Most are cancelled at once; some have ended by themselves before."""
+        """Cancel the run shortly; one in ten is not cancelled, as if it had ended by itself before."""
         if request.place is Place.RUNNING and self._random.random() < 0.9:
             request.generation += 1
             self._plan(PlannedKind.CANCELLED, self._random.randrange(3 * MS), request.id, request.generation)
