--- a/cairnvane/admission/controller.py
+++ b/cairnvane/admission/controller.py
@@ -129,7 +129,7 @@
         # A keyed run must not start until its key is stored, or it might run again after a restart.
         if storage_delay:
             return EndReason.STORAGE
-        # Requests that arrive after the drain grace must not run; near its deadline a run would be wasted.
+        # Requests after the drain grace must not run, and a run that begins near its deadline is wasted.
         if request.arrived_at > self.drain_grace_end:
             return EndReason.DRAINING
         if request.deadline <= self.now + parameters.TIMER_INTERVAL_US:
@@ -272,8 +272,8 @@
         # then. A run before its call could not finish, since an answered request ends at its next call.
         is_keyed = request.request_class.retry_semantics is RetrySemantics.IDEMPOTENCY_KEYED
         has_called = request.call_attempts_left < parameters.CALL_ATTEMPTS
-        continues = request.state is RequestState.RUNNING and is_keyed and has_called
-        if not request.answered and not continues:
+        run_continues = request.state is RequestState.RUNNING and is_keyed and has_called
+        if not request.answered and not run_continues:
             self._cancel(request)
         request.answered = True
 
--- a/cairnvane/admission/idle_connections.py
+++ b/cairnvane/admission/idle_connections.py
@@ -1,4 +1,4 @@
-"""Decides how long long idle connections are kept, depending on returning clients and handshake load."""
+"""Decides how long idle connections are kept, depending on returning clients and handshake load."""
 
 from __future__ import annotations
 
