--- a/cairnvane/__main__.py
+++ b/cairnvane/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cairnvane`: one bid server."""
+"""Entry point of `python -m cairnvane`, which runs one bid server."""
 
 from __future__ import annotations
 
--- a/cairnvane/server/__init__.py
+++ b/cairnvane/server/__init__.py
@@ -1,1 +1,1 @@
-"""The process around the decision module: its event loop, its components, and how it starts and ends."""
+"""The server process around the admission controller: event loop, components, startup and shutdown."""
--- a/cairnvane/server/action_executor.py
+++ b/cairnvane/server/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the controller's actions, one at a time, in the event loop's thread."""
+"""Executes the controller's actions, one at a time, in the event loop's thread."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 from .responder import Responder
 from .timers import ControllerTimers
 
-if TYPE_CHECKING:  # only where an operator turned it on
+if TYPE_CHECKING:  # imported only if the operator enables durable keys
     from ..idempotency.durability import DurableKeys
 
 logger = logging.getLogger(__name__)
@@ -42,9 +42,10 @@
 
 
 class ActionExecutor:
-    """Maps each type of action to the part of the server that carries it out.
+    """Dispatches each action to the part of the server that executes it, by the action's type.
 
-    `run_never_started` takes a request whose run was withdrawn before the pool was told of it.
+    `run_never_started` is called with a request whose run was withdrawn before its `spawn` was sent to the
+    pool.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
         self._server = server
         self._durable_keys = durable_keys
         self._run_never_started = run_never_started
-        # Requests that were rejected or failed without the end of a run, by the value of the reason.
+        # Number of requests that were rejected or failed before a run of theirs ended, by reason.
         self.ended_without_run: Counter[str] = Counter()
         self._server_handlers: dict[type[Action], Callable[..., None]] = {
             SetHealth: health.set,
@@ -88,7 +89,7 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Carry out an action; one for a request that is no longer in flight changes nothing."""
+        """Execute an action. An action for a request that is no longer in flight has no effect."""
         server_handler = self._server_handlers.get(type(action))
         if server_handler is not None:
             server_handler(action)
@@ -128,7 +129,7 @@
             retry_after_ms=retry_after_ms,
             no_retry=action.no_retry,
         )
-        self._duplicates.remove_if_over(in_flight)
+        self._duplicates.remove_if_complete(in_flight)
 
     def _record_end(self, in_flight: InFlightRequest, action: Reject | Fail) -> None:
         self.ended_without_run[action.reason.value] += 1
@@ -138,11 +139,11 @@
         self._record_end(in_flight, action)
         self._responder.respond(in_flight.request, ResponseStatus.FAILED)
         self._executions.client_disconnected(in_flight)
-        self._duplicates.remove_if_over(in_flight)
+        self._duplicates.remove_if_complete(in_flight)
 
     def _cancel(self, in_flight: InFlightRequest, action: Cancel) -> None:
         if self._durable_keys is not None and self._durable_keys.withdraw_start(in_flight):
-            self._run_never_started(in_flight)  # the pool was not told to run it
+            self._run_never_started(in_flight)  # no `spawn` was sent to the pool
         else:
             self._executions.cancel(in_flight)
 
--- a/cairnvane/server/administration_setup.py
+++ b/cairnvane/server/administration_setup.py
@@ -1,4 +1,4 @@
-"""Sets up the administration endpoint, which is imported only if the configuration names its address."""
+"""Sets up the administration endpoint, which is imported only if the configuration has its address."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
     from ..exchange import RequestSink, ResponseCounter
     from ..membership.transport import MemberTransport
 
-# Descriptors that are not for balancers: the links, one for each call, and those that close as others open.
+# File descriptors that are not available to balancer connections: the links to the peers, one for each vault
+# call, and sockets that are still closing while new ones open.
 MIN_RESERVED_SOCKETS = 64
 RESERVED_SOCKETS_DIVISOR = 4
 
 
 class Administration(NamedTuple):
-    """The sink that requests are handed to; the counter and the endpoint's component, None if it is off."""
+    """The sink that receives requests; the response counter and the component are None if it is disabled."""
 
     request_sink: RequestSink
     response_counter: ResponseCounter | None
@@ -27,16 +28,16 @@
 
 
 def reserved_sockets(configuration: config.Config) -> int:
-    """How many descriptors are not for connections of balancers."""
+    """The number of file descriptors that balancer connections may not use."""
     return max(MIN_RESERVED_SOCKETS, configuration.sockets // RESERVED_SOCKETS_DIVISOR)
 
 
 def _member_views(transport: MemberTransport) -> dict[str, Callable[[], object]]:
-    """The resources that show the members, by path."""
+    """The HTTP resources that show the members, by path."""
     from ..membership.transport import described
 
     def metrics_text() -> bytes:
-        from ..membership import metrics  # imports the metrics library at the first request
+        from ..membership import metrics  # defers the import of the metrics library to the first request
 
         return metrics.text(transport.snapshot)
 
@@ -53,11 +54,11 @@
     transport: MemberTransport | None,
     load: Callable[[], object],
 ) -> Administration:
-    """Set up the endpoint, if it is on; its drain gate then sees every request before `request_sink`.
+    """Set up the endpoint if it is enabled; its drain gate then receives every request before `request_sink`.
 
-    `load` returns what the metrics say of the server's load.
+    `load` returns the server's load for the metrics.
 
-    Raises `OSError` if it can't listen.
+    Raises `OSError` if the endpoint can't listen.
     """
     if configuration.administration is None:
         return Administration(request_sink, None, None)
--- a/cairnvane/server/arrivals.py
+++ b/cairnvane/server/arrivals.py
@@ -1,4 +1,4 @@
-"""Arrivals: checks a request that was read, finds its original request, and reports it to the controller."""
+"""Request arrivals: validates each request, finds its original, and reports it to the controller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .in_flight import InFlightRequest, InFlightTable
 from .responder import Responder
 
-if TYPE_CHECKING:  # only where an operator turned it on
+if TYPE_CHECKING:  # imported only if the operator enables durable keys
     from ..idempotency.durability import DurableKeys
 
 logger = logging.getLogger(__name__)
@@ -23,9 +23,9 @@
 
 
 class Arrivals:
-    """Takes requests in; used by the event loop's thread alone.
+    """Handles the arrival of requests; used only by the event loop's thread.
 
-    `notify` takes the event for the controller. `handle_events` has the controller handle all events so far.
+    `notify` queues an event for the controller. `handle_events` has the controller handle all queued events.
     """
 
     def __init__(
@@ -48,31 +48,36 @@
         self._notify = notify
         self._handle_events = handle_events
 
-    def arrive(self, request: Request) -> None:
-        """Take a request in, unless it is invalid, its client has disconnected, or it has to wait."""
+    def handle_arrival(self, request: Request) -> None:
+        """Report a request to the controller.
+
+        An invalid request is answered as failed, one whose client has disconnected is ignored, and a keyed
+        one is deferred while the stored keys are being recovered.
+        """
         class_index = self._class_indices.get(request.class_name)
         if class_index is None:
-            self._reject_invalid(request, "no such class")
+            self._reject_invalid(request, "unknown class")
             return
         if self._requests.find_uid(request.uid) is not None:
-            self._reject_invalid(request, "its uid is that of another request in flight")
+            self._reject_invalid(request, "its uid is in use by another request in flight")
             return
         is_keyed = request.idempotency_key is not None
         semantics = self._classes[class_index].retry_semantics
         if is_keyed is not (semantics is RetrySemantics.IDEMPOTENCY_KEYED):
             self._reject_invalid(
-                request, "an idempotency key in a class without keys, or none in one with keys"
+                request,
+                "an idempotency key for a class without keys, or no key for a class that requires one",
             )
             return
         if not request.is_open:
-            return  # its client disconnected before it could be reported
+            return  # its client disconnected before the request was reported
         if request.idempotency_key is None:
             self._add(request, class_index, NO_ORIGINAL)
         else:
-            self._arrive_keyed(request, class_index, request.idempotency_key)
+            self._handle_keyed_arrival(request, class_index, request.idempotency_key)
 
-    def _arrive_keyed(self, request: Request, class_index: int, key: str) -> None:
-        self._handle_events()  # so that attempts that are read together are recognised as duplicates
+    def _handle_keyed_arrival(self, request: Request, class_index: int, key: str) -> None:
+        self._handle_events()  # so that duplicates among attempts that were read together are recognised
         fingerprint = b""
         if self._durable_keys is not None:
             if self._durable_keys.wait_for_recovery(request):
@@ -81,8 +86,9 @@
         try:
             original = self._duplicates.find_original(request, key, fingerprint)
         except ValueError:
-            # All attempts of a request are alike: one that differs under its key is not from its client.
-            self._reject_invalid(request, "its idempotency key belongs to another request")
+            # All attempts of a request have the same content. An attempt with the same key and other content
+            # does not come from the client that owns the key.
+            self._reject_invalid(request, "its idempotency key is in use by another request")
             return
         storage_delay = 0
         if self._durable_keys is not None and original.request_id is None:
@@ -97,7 +103,7 @@
         fingerprint: bytes = b"",
         storage_delay: int = 0,
     ) -> None:
-        """Enter the request in the table and report it to the controller."""
+        """Add the request to the table and report it to the controller."""
         request_class = self._classes[class_index]
         request_id = self._requests.next_id()
         self._requests.add(
@@ -105,7 +111,7 @@
                 request_id, request, request_class, original.request_id, original.stored_entry, fingerprint
             )
         )
-        # No client waits longer than the timeout of its class, whatever a faulty time stamp says.
+        # A client waits at most for the timeout of its class, so a faulty time stamp can't exceed that.
         queue_delay = min(max(0, clock.now() - request.arrived_at), request_class.client_timeout)
         self._notify(
             Arrival(
@@ -120,6 +126,6 @@
         )
 
     def _reject_invalid(self, request: Request, reason: str) -> None:
-        """Fail what no balancer sends, before it reaches the controller or the table of keys."""
+        """Fail a malformed request before it reaches the controller or the key table."""
         logger.warning("request %s failed: invalid: %s", request.uid, reason)
         self._responder.respond_invalid(request)
--- a/cairnvane/server/cancellations.py
+++ b/cairnvane/server/cancellations.py
@@ -1,9 +1,10 @@
-"""Cancellations of runs, and of what is known of a cancelled run whose end the worker pool does not report.
+"""Cancellation of runs, including cancelled runs whose end the worker pool does not report.
 
-A run may have been lost with a link: then it never began, no end is ever reported, and its place would stay
-taken. But a cancellation may also have no effect, as while the machine's cores stand still, and then the run
-goes on. A pool that reports no end proves neither, so the pool is asked in a way that has an answer either
-way (`WorkerPool.confirm`), and the run keeps its place until its end is reported.
+There are two possible causes of a missing report. The `spawn` may have been lost with a link: the run never
+began, no end is ever reported, and the run would occupy a concurrency slot for good. Or the cancellation has
+no effect, for example while the machine's cores are stalled, and the run continues. A missing report does not
+tell them apart, so the server sends a question that the pool answers in both cases (`WorkerPool.confirm`).
+The run occupies its concurrency slot until its end is reported.
 """
 
 from __future__ import annotations
@@ -20,20 +21,20 @@
 
 logger = logging.getLogger(__name__)
 
-# So long after its client's timeout a request is over for everybody, also where an answer was not read: the
-# protocol's slack, and what a message between two processes of one machine may take.
-OVER_MARGIN_US = 250_000
+# A request can no longer be run this long after its client's timeout, even if its response was not read.
+# Covers the protocol's slack and the transfer time of a message between two processes on one machine.
+CONFIRMATION_MARGIN_US = 250_000
 MICROSECONDS_PER_SECOND = 1e6
 
 
 @dataclass(slots=True)
 class CancellationCounts:
-    """Counts since the start of the process."""
+    """Counts since the process started."""
 
-    sent: int = 0  # cancellations, each time that one was sent
-    confirmations: int = 0  # questions whether a cancelled run goes on
-    lost_runs: int = 0  # runs that were lost with a link, by the pool's own word
-    second_runs: int = 0  # runs that may have begun a second time, and were cancelled
+    sent: int = 0  # cancellations, including those that were sent again
+    confirmations: int = 0  # questions whether a cancelled run continues
+    lost_runs: int = 0  # runs that were lost with a link, as the pool confirmed
+    second_runs: int = 0  # cancelled runs that a repeated `spawn` may have started a second time
 
     def as_json(self) -> dict[str, int]:
         """The counts for the metrics."""
@@ -41,10 +42,10 @@
 
 
 class Cancellations:
-    """Cancels runs, and finds out which of them never began; used by the event loop's thread alone.
+    """Cancels runs and finds out which of them never began; used only by the event loop's thread.
 
-    `run_lost` takes a run of an earlier incarnation that is given up. Tasks handed to `post` are done in the
-    event loop's thread.
+    `run_lost` is called with a run of an earlier incarnation that is considered lost. `post` runs a task in
+    the event loop's thread.
     """
 
     def __init__(
@@ -54,47 +55,51 @@
         run_lost: Callable[[InFlightRequest], None],
     ) -> None:
         self.counts = CancellationCounts()
-        self.link = 0  # the pool's newest link whose notices have been replayed
+        self.link = 0  # number of the newest pool link whose missed notices have been replayed
         self._pool = pool
         self._post = post
         self._run_lost = run_lost
 
     def cancel(self, in_flight: InFlightRequest) -> None:
-        """Cancel a run; it keeps its place until its end is reported."""
+        """Cancel a run. It occupies its concurrency slot until its end is reported."""
         self.counts.sent += 1
         in_flight.cancel_link = self._pool.suspend(in_flight.request.uid)
 
-        def synced(is_linked: bool) -> None:
+        def on_synced(is_linked: bool) -> None:
             if is_linked:
                 self._post(lambda: self._end_not_reported(in_flight))
 
         may_be_lost = in_flight.command_link is not None and in_flight.command_link != in_flight.cancel_link
         if in_flight.cancel_link and may_be_lost:
-            self._pool.sync(synced)
+            self._pool.sync(on_synced)
 
     def cancel_second_run(self, in_flight: InFlightRequest) -> None:
-        """Cancel what a repeated `spawn` may have begun, since the run had ended before the pool read it.
+        """Cancel a second run that a repeated `spawn` may have started.
 
-        The request is over, and nobody counts such a run.
+        That happens if the first run ended before the pool read the repeated command. The request has ended,
+        so a second run would not be counted as running.
         """
         self.counts.second_runs += 1
         self._pool.suspend(in_flight.request.uid)
 
     def end_code(self, in_flight: InFlightRequest, code: str) -> str:
-        """What an end code of the pool means for this run.
+        """Return the end code that applies to this run, given the code that the pool reported.
 
-        `late` in answer to a confirmation shows that no run goes on. It does not make the key free: that a
-        run never began, and not only this `spawn`, is known from its silence alone.
+        `late` as the reply to a confirmation shows that the run does not continue. It does not free the
+        idempotency key: it says that this `spawn` started no run, but not that the run never began, which
+        is inferred only from the missing report of an end.
         """
         if code != RUN_NEVER_STARTED or not in_flight.is_confirmation_sent:
             return code
         self.counts.lost_runs += 1
         logger.info(
-            "run %s was lost with link %s: its place is free", in_flight.request.uid, in_flight.command_link
+            "run %s was lost with link %s; its concurrency slot is free",
+            in_flight.request.uid,
+            in_flight.command_link,
         )
         return RUN_CANCELLED
 
-    # --- a cancelled run whose end was not reported before the answer to the question behind it
+    # --- a cancelled run whose end was still unreported when the pool answered the question after it
 
     def _is_unconfirmed(self, in_flight: InFlightRequest) -> bool:
         is_unacknowledged = in_flight.is_running and in_flight.command_link is not None
@@ -104,40 +109,43 @@
         if not self._is_unconfirmed(in_flight):
             return
         if in_flight.is_adopted:
-            # Its body is not known, so the pool can't be asked. There are no more of these than were running
-            # when the earlier incarnation ended.
+            # The request's body is not known, so the pool can't be asked. There are at most as many of these
+            # runs as were running when the earlier incarnation ended.
             self._run_lost(in_flight)
             return
-        wait_us = self._time_until_over(in_flight)
+        wait_us = self._time_until_confirmable(in_flight)
         if wait_us <= 0:
             self._confirm(in_flight)
             return
-        later = threading.Timer(
+        timer = threading.Timer(
             wait_us / MICROSECONDS_PER_SECOND, self._post, (lambda: self._confirm(in_flight),)
         )
-        later.daemon = True
-        later.start()
+        timer.daemon = True
+        timer.start()
 
-    def _time_until_over(self, in_flight: InFlightRequest) -> int:
-        """Microseconds until a `spawn` of this request can't run it a second time, 0 if it may.
+    def _time_until_confirmable(self, in_flight: InFlightRequest) -> int:
+        """Microseconds until a confirmation can be sent without running the request a second time.
 
-        The request has been answered, or its client has left. But an answer may be on its way, and the pool
-        would still run a request whose client waits.
+        0 if the request is idempotent, so that a second run is allowed, or if its client has disconnected.
+        Otherwise the response may not have reached the client yet, and the pool would still run a request
+        whose client waits.
         """
         is_idempotent = in_flight.request_class.retry_semantics is RetrySemantics.IDEMPOTENT
-        if is_idempotent or in_flight.client_left:
+        if is_idempotent or in_flight.has_client_disconnected:
             return 0
-        over_at = in_flight.request.arrived_at + in_flight.request_class.client_timeout + OVER_MARGIN_US
-        return max(0, over_at - clock.now())
+        confirmable_at = (
+            in_flight.request.arrived_at + in_flight.request_class.client_timeout + CONFIRMATION_MARGIN_US
+        )
+        return max(0, confirmable_at - clock.now())
 
     def _confirm(self, in_flight: InFlightRequest) -> None:
         if not self._is_unconfirmed(in_flight):
-            return  # it has ended, or the link has, and the next one brings a new cancellation
+            return  # the run has ended, or the link has, and the cancellation is sent again on the next one
         self.counts.confirmations += 1
         in_flight.is_confirmation_sent = True
         request = in_flight.request
         logger.info(
-            "run %s: no end after its cancellation on link %s, command on link %s: the pool is asked for it",
+            "run %s: no end reported after cancellation on link %s, last command on link %s; asking the pool",
             request.uid,
             in_flight.cancel_link,
             in_flight.command_link,
--- a/cairnvane/server/composition.py
+++ b/cairnvane/server/composition.py
@@ -1,4 +1,4 @@
-"""Builds a server of its components, the optional ones as configuration and operator's file ask for them."""
+"""Builds a server from its components; configuration and operator's file select the optional ones."""
 
 from __future__ import annotations
 
@@ -20,14 +20,15 @@
 if TYPE_CHECKING:
     from ..config.operator import OperatorOptions
 
-# Readers, calls and timers go a dozen plain frames deep; hundreds of them share the memory limit.
+# Reader, vault call and timer threads have stacks of about a dozen Python frames, and hundreds of these
+# threads share the memory limit.
 THREAD_STACK_BYTES = 256 * 1024
-# A balancer's next request may be on its way on a connection that looks idle: closing it can wait this long.
+# The close of idle connections may wait this long, since a balancer's next request may be in transit on one.
 LAST_REQUEST_WAIT_S = 0.2
 
 
 class Server(NamedTuple):
-    """A server that is built and listens, and what the process needs to run and reload it."""
+    """A listening server, and the components that the process uses to run and reload it."""
 
     event_loop: EventLoop
     event_loop_thread: EventLoopThread
@@ -35,11 +36,11 @@
     registry: ServiceRegistry
     incarnations: Incarnations | None
     lifecycle: Lifecycle
-    address: tuple[str, int]  # where it listens
+    address: tuple[str, int]  # the listen address
 
 
 def load_operator_options(configuration: config.Config, path: str) -> OperatorOptions | None:
-    """Read the operator's file at this path, and write log lines in its form from now on; None without one.
+    """Read the operator's file at this path and apply its log settings; None if there is no path.
 
     Raises `ConfigurationError`, and `ImportError` if a library that the file needs is not installed.
     """
@@ -62,7 +63,7 @@
     temporary_folder: Path,
     step_observer: StepObserver | None,
 ) -> store_setup.SharedState:
-    """What the incarnations of this server share; raises what `store_setup.open_shared_state` does."""
+    """Open the incarnations' shared state; raises what `store_setup.open_shared_state` raises."""
     keyed = options.keyed if options is not None else None
     return store_setup.open_shared_state(configuration, keyed, temporary_folder, step_observer)
 
@@ -72,7 +73,7 @@
     options: OperatorOptions | None,
     shared_state: store_setup.SharedState,
 ) -> Server:
-    """Build the server; it listens, but no component is started. Raises `OSError` if it can't listen."""
+    """Build the server. It listens, but no component is started. Raises `OSError` if it can't listen."""
     threading.stack_size(THREAD_STACK_BYTES)
     event_loop = EventLoop(configuration.settings, configuration.gauges, configuration.seed)
     pool = WorkerPool(configuration.pool, event_loop)
@@ -86,14 +87,14 @@
         membership.transport,
         lambda: event_loop.load.as_json(),
     )
-    front = FastCgiServer(
+    fastcgi_server = FastCgiServer(
         configuration.listen,
         administration.request_sink,
         configuration.sockets - administration_setup.reserved_sockets(configuration),
         administration.response_counter,
     )
-    keys = store_setup.durable_keys(shared_state.store, configuration)
-    event_loop.connect(front, pool, configuration.vault, keys)
+    keys = store_setup.create_durable_keys(shared_state.store, configuration)
+    event_loop.connect(fastcgi_server, pool, configuration.vault, keys)
     event_loop_thread = EventLoopThread(event_loop)
 
     lifecycle = Lifecycle()
@@ -102,7 +103,7 @@
         store_setup.store_component(shared_state.store),
         event_loop_thread.component(),
         store_setup.pool_component(event_loop, pool, keys, event_loop_thread.fail_recovery),
-        _front_component(front),
+        _fastcgi_component(fastcgi_server),
         _registry_component(registry),
         _readiness_component(shared_state.incarnations, pool),
         member_setup.members_component(membership.transport),
@@ -110,28 +111,34 @@
     ):
         lifecycle.add(component)
     return Server(
-        event_loop, event_loop_thread, pool, registry, shared_state.incarnations, lifecycle, front.address
+        event_loop,
+        event_loop_thread,
+        pool,
+        registry,
+        shared_state.incarnations,
+        lifecycle,
+        fastcgi_server.address,
     )
 
 
-def _front_component(front: FastCgiServer) -> Component:
-    """The listener for requests, and its connections."""
+def _fastcgi_component(fastcgi_server: FastCgiServer) -> Component:
+    """The FastCGI listener and its connections."""
 
     def retire(shutdown: Shutdown) -> None:
-        front.retire(max(0.0, shutdown.time_left_s - shutdown.grace_s) + LAST_REQUEST_WAIT_S)
+        fastcgi_server.retire(max(0.0, shutdown.time_left_s - shutdown.grace_s) + LAST_REQUEST_WAIT_S)
 
-    return Component("server", ("event loop",), start=front.start, stop=retire)
+    return Component("server", ("event loop",), start=fastcgi_server.start, stop=retire)
 
 
 def _registry_component(registry: ServiceRegistry) -> Component:
-    """Reports to the service registry until the shutdown begins."""
+    """The reports to the service registry, which end when the shutdown begins."""
     return Component(
         "registry", ("server",), start=registry.start, on_shutdown=lambda shutdown: registry.stop()
     )
 
 
 def _readiness_component(incarnations: Incarnations | None, pool: WorkerPool) -> Component | None:
-    """Tells earlier incarnations, once the pool's link is up, that this one can take over."""
+    """Signals to earlier incarnations that this one can take over, once the pool's link is up."""
     if incarnations is None:
         return None
 
--- a/cairnvane/server/duplicates.py
+++ b/cairnvane/server/duplicates.py
@@ -1,7 +1,7 @@
 """Duplicates of keyed requests: finds their original request, and answers them with its result.
 
-Whether a duplicate is admitted, and when a key is remembered, the controller decides. Here is how that is
-carried out. All methods are called by the event loop's thread.
+The controller decides whether a duplicate is admitted and when a key is remembered; this module carries that
+out. All methods are called by the event loop's thread.
 """
 
 from __future__ import annotations
@@ -17,28 +17,27 @@
 from .in_flight import InFlightRequest, InFlightTable
 from .responder import Responder
 
-if TYPE_CHECKING:  # only where an operator turned it on
+if TYPE_CHECKING:  # imported only if the operator enables durable keys
     from ..idempotency.durability import DurableKeys
 
-# Duplicates are recognised for this much longer than the controller asks: clients' deadlines have 50 ms of
-# slack.
+# Keys are kept this much longer than the controller asks for, since clients' deadlines have 50 ms of slack.
 KEY_SLACK_US = 100_000
-# The number of an original request that only the durable store still has; requests are numbered from 1.
+# The request id of an original that only the durable store still has. Ids of requests in flight start at 1.
 STORED_ORIGINAL = 0
 
 
 class OriginalRequest(NamedTuple):
-    """What is known of the original request of an attempt; nothing if the attempt is the first one."""
+    """The original request of an attempt; both fields are None if the attempt is the first one."""
 
-    request_id: int | None  # STORED_ORIGINAL: only the durable store still has it
+    request_id: int | None  # STORED_ORIGINAL if only the durable store still has it
     stored_entry: StoredEntry | None
 
 
 class Duplicates:
     """The idempotency keys of this process, and the duplicates that wait for their original requests.
 
-    `notify_next` takes events that an action caused, which the controller is to hear after the present
-    ones. `arrive_again` has a request handled as if it had just arrived.
+    `notify_next` queues an event that was caused by an action, for the controller to handle after the current
+    events. `retry_arrival` has a request handled as if it had just arrived.
     """
 
     def __init__(
@@ -49,14 +48,14 @@
         responder: Responder,
         *,
         notify_next: Callable[[Event], None],
-        arrive_again: Callable[[Request], None],
+        retry_arrival: Callable[[Request], None],
     ) -> None:
         self._requests = requests
         self._keys = keys
         self._durable_keys = durable_keys
         self._responder = responder
         self._notify_next = notify_next
-        self._arrive_again = arrive_again
+        self._retry_arrival = retry_arrival
 
     def find_original(self, request: Request, key: str, fingerprint: bytes) -> OriginalRequest:
         """Find the original request of this attempt.
@@ -68,17 +67,17 @@
         if request_id is not None:
             original = self._requests.find(request_id)
             if original is None or not original.is_retry_of(request, fingerprint):
-                raise KeyConflictError(f"key {key}: belongs to request number {request_id}")
+                raise KeyConflictError(f"key {key}: in use by request number {request_id}")
             return OriginalRequest(request_id, None)
         if self._durable_keys is None:
             return OriginalRequest(None, None)
         stored_entry = self._durable_keys.look_up(request, fingerprint)
         return OriginalRequest(STORED_ORIGINAL if stored_entry is not None else None, stored_entry)
 
-    # --- the table of keys
+    # --- the key table
 
     def remember_key(self, in_flight: InFlightRequest, lifetime: int) -> None:
-        """Recognise duplicates of this request for `lifetime` microseconds from now on."""
+        """Recognise duplicates of this request for the next `lifetime` microseconds."""
         key = in_flight.request.idempotency_key
         if key is None:
             return
@@ -90,33 +89,33 @@
             return
         previous = self._requests.find(previous_id)
         if previous is not None:
-            self.remove_if_over(previous)
+            self.remove_if_complete(previous)
 
     def adopt_key(self, in_flight: InFlightRequest, key: str, expires_at: int) -> None:
         """Recognise duplicates of a run of an earlier incarnation."""
         self._keys.insert(key, in_flight.request_id, expires_at)
 
     def forget_key(self, in_flight: InFlightRequest) -> None:
-        """The request never ran: its key is free again."""
+        """Free the key of a request that never ran."""
         if self._durable_keys is not None:
             self._durable_keys.key_forgotten(in_flight)
         if self._keys.remove(in_flight.request.idempotency_key, in_flight.request_id):
-            self.remove_if_over(in_flight)
+            self.remove_if_complete(in_flight)
 
     def release(self, in_flight: InFlightRequest) -> None:
-        """Leave the duplicates of this request to the durable store from now on."""
+        """Leave the duplicates of this request to the durable store, and drop the key from memory."""
         self._keys.remove(in_flight.request.idempotency_key, in_flight.request_id)
-        self.remove_if_over(in_flight)
+        self.remove_if_complete(in_flight)
 
     def expire_keys(self) -> None:
-        """Remove the keys that no attempt can bring any more, and the requests that were kept for them."""
+        """Remove expired keys, and the requests that were kept only for their duplicates."""
         for request_id in self._keys.expire(clock.now()):
             original = self._requests.find(request_id)
             if original is not None:
-                self.remove_if_over(original)
+                self.remove_if_complete(original)
 
-    def remove_if_over(self, in_flight: InFlightRequest) -> None:
-        """Remove a request that is answered, does not run and whose result no duplicate can want."""
+    def remove_if_complete(self, in_flight: InFlightRequest) -> None:
+        """Remove a request that is answered, is not running, and whose result no duplicate can need."""
         if in_flight.is_running or in_flight.request.is_open:
             return
         if in_flight.is_queued:
@@ -124,10 +123,10 @@
         if not self._keys.owns(in_flight.request.idempotency_key, in_flight.request_id):
             self._requests.remove(in_flight)
 
-    # --- the duplicates that wait
+    # --- waiting duplicates
 
     def replay(self, duplicate: InFlightRequest) -> None:
-        """Answer a duplicate with the result of its original request, as soon as there is one."""
+        """Answer a duplicate with the result of its original request, once that is available."""
         if duplicate.stored_entry is not None and self._durable_keys is not None:
             self._durable_keys.replay(
                 duplicate, duplicate.stored_entry, lambda result: self._respond(duplicate, result)
@@ -140,7 +139,7 @@
             self._replay_from(duplicate, original)
 
     def complete_waiting(self, original: InFlightRequest, outcome: Outcome) -> None:
-        """A request will not run any more: answer the duplicates that wait for it, or admit them anew."""
+        """Answer the duplicates of a request that has ended, or readmit them if it never started."""
         original.outcome = outcome
         original.is_queued = False
         waiting = original.waiting_duplicates
@@ -150,22 +149,25 @@
             if duplicate is None:
                 continue
             if outcome is Outcome.NEVER_STARTED:
-                self._admit_anew(duplicate)
+                self._readmit(duplicate)
             else:
                 self._replay_from(duplicate, original)
 
-    def _admit_anew(self, duplicate: InFlightRequest) -> None:
-        """Its original never ran: it is a first attempt once the controller has given up the key."""
+    def _readmit(self, duplicate: InFlightRequest) -> None:
+        """Handle a duplicate whose original never ran as a new arrival.
+
+        By then the controller has forgotten the key, so the duplicate becomes the first attempt.
+        """
         self._notify_next(ClientDisconnected(duplicate.request_id))
         self._requests.remove(duplicate)
-        self._arrive_again(duplicate.request)
+        self._retry_arrival(duplicate.request)
 
     def _replay_from(self, duplicate: InFlightRequest, original: InFlightRequest | None) -> None:
         has_result = original is not None and original.outcome is Outcome.OK
         self._respond(duplicate, original.result if original is not None and has_result else None)
 
     def _respond(self, duplicate: InFlightRequest, result: bytes | None) -> None:
-        """Answer a duplicate with this result; None: there is none, and it fails."""
+        """Answer a duplicate with this result; if the result is None, the duplicate fails."""
         if result is None:
             self._responder.respond(duplicate.request, ResponseStatus.FAILED)
             outcome = Outcome.ERROR
@@ -174,4 +176,4 @@
             outcome = Outcome.OK
         duplicate.is_queued = False
         self._notify_next(RunFinished(duplicate.request_id, outcome))
-        self.remove_if_over(duplicate)
+        self.remove_if_complete(duplicate)
--- a/cairnvane/server/event_loop.py
+++ b/cairnvane/server/event_loop.py
@@ -1,7 +1,8 @@
-"""The server's event loop: one thread and one inbox, between the network and the controller.
+"""The server's event loop: one thread with one task queue, between the network and the controller.
 
-Whoever sees something happen puts it into the inbox. The loop's thread reports it to the controller, one
-event after the other, and has every action carried out before the next event. Nothing is decided here.
+Other threads put tasks into the queue. The loop's thread runs them, reports the resulting events to the
+controller, and executes all of its actions before the next events are reported. This module makes no
+admission decisions.
 """
 
 from __future__ import annotations
@@ -38,28 +39,28 @@
 from .runs import Runs
 from .timers import ControllerTimers
 
-if TYPE_CHECKING:  # only where an operator turned it on
+if TYPE_CHECKING:  # imported only if the operator enables durable keys
     from ..idempotency.durability import DurableKeys
 
 logger = logging.getLogger(__name__)
 
-# How many tasks may share a call of `handle` after the first: few enough not to keep the first one waiting.
+# Tasks that may follow the first one before `handle` is called. The limit bounds the delay of the first task.
 MAX_BATCHED_TASKS = 32
 
 
 class EventLoop:
-    """One incarnation of a server: reports events to the controller and carries out its actions."""
+    """One incarnation of a server: reports events to the controller and executes its actions."""
 
     def __init__(self, settings: Settings, gauges: tuple[str | None, ...], seed: int) -> None:
         self._settings = settings
         self._gauges = gauges
         self._controller = Controller(settings, seed, clock.now())
         self._inbox: SimpleQueue[Callable[[], None]] = SimpleQueue()
-        self._events: list[Event] = []  # not reported to the controller yet
-        self._follow_up_events: list[Event] = []  # caused by actions, to be reported next
+        self._events: list[Event] = []  # not yet reported to the controller
+        self._follow_up_events: list[Event] = []  # caused by actions; reported in the next round
         self._requests = InFlightTable()
         self._responder = Responder()
-        self.load = LoadSnapshot()  # replaced as a whole at each timer, so any thread may read it
+        self.load = LoadSnapshot()  # replaced, not modified, at each timer, so that any thread may read it
         self._is_stopped = False
 
     def connect(
@@ -69,18 +70,18 @@
         vault: tuple[str, int],
         durable_keys: DurableKeys | None = None,
     ) -> None:
-        """Build the parts that carry out actions; called once, before `serve`."""
+        """Build the parts that execute actions; called once, before `serve`."""
         self._pool = pool
-        self._durable_keys = durable_keys  # None: keys are remembered by this process alone
+        self._durable_keys = durable_keys  # None: keys are kept only in the memory of this process
         self.executions = self._make_executions(pool, vault)
         self._duplicates = Duplicates(
             self._requests,
-            # A duplicate that arrived before its key expired may be read as much later as a client waits.
+            # A duplicate that arrived before its key expired may be read later, by up to the client timeout.
             KeyTable(max(cls.client_timeout for cls in self._settings.classes)),
             durable_keys,
             self._responder,
             notify_next=self._follow_up,
-            arrive_again=lambda request: self.post(lambda: self._arrivals.arrive(request)),
+            retry_arrival=lambda request: self.post(lambda: self._arrivals.handle_arrival(request)),
         )
         self._runs = Runs(
             self._requests,
@@ -127,7 +128,7 @@
 
     @property
     def reported_load(self) -> float | None:
-        """The load signal that goes with every response; None before the controller's first report."""
+        """The load signal sent with every response; None before the controller's first report."""
         return self._responder.reported_load
 
     @reported_load.setter
@@ -135,61 +136,61 @@
         self._responder.reported_load = value
 
     def move_vault(self, vault: tuple[str, int]) -> None:
-        """Set the vault's address for all calls from now on; those under way end where they are."""
+        """Set the vault's address for new calls; calls in progress continue at the previous address."""
         self.executions.vault = vault
 
-    # --- the inbox, from any thread
+    # --- the task queue; these methods may be called from any thread
 
     def post(self, task: Callable[[], None]) -> None:
-        """Have this done in the event loop's thread."""
+        """Run a task in the event loop's thread."""
         self._inbox.put(task)
 
     def request_arrived(self, request: Request) -> None:
         """A whole request was read."""
-        self._inbox.put(lambda: self._arrivals.arrive(request))
+        self._inbox.put(lambda: self._arrivals.handle_arrival(request))
 
     def client_disconnected(self, request: Request) -> None:
         """The client of a request has disconnected."""
-        self._inbox.put(lambda: self._runs.disconnect(request))
+        self._inbox.put(lambda: self._runs.handle_disconnect(request))
 
     def health_check_arrived(self, check: HealthCheck) -> None:
         """A health check was read."""
         self._inbox.put(lambda: self._health.check(check))
 
-    def finished(self, uid: str, code: str, took_us: int, result: bytes, pos: int) -> None:
-        """The pool's notice at position `pos`: a run is over."""
-        self._inbox.put(lambda: self._runs.end(uid, code, took_us, result, pos))
+    def finished(self, uid: str, code: str, duration_us: int, result: bytes, position: int) -> None:
+        """A run has ended, according to the pool's notice at this position."""
+        self._inbox.put(lambda: self._runs.end(uid, code, duration_us, result, position))
 
     def unknown(self, uid: str) -> None:
-        """The pool has no such request: it will never run, and no notice of its end will come."""
+        """The pool does not know this request. It will never run, and no notice of its end will come."""
         self._inbox.put(lambda: self._runs.end_unknown(uid))
 
-    def blocked(self, uid: str, body: bytes, pos: int) -> None:
-        """The pool's notice at position `pos`: a run waits for a call with this body."""
-        self._inbox.put(lambda: self._runs.request_call(uid, body, pos))
+    def blocked(self, uid: str, body: bytes, position: int) -> None:
+        """A run waits for a call with this body, according to the pool's notice at this position."""
+        self._inbox.put(lambda: self._runs.request_call(uid, body, position))
 
     def replaced(self) -> None:
-        """The pool is a new one, and has none of the runs."""
-        self._inbox.put(self._runs.fail_lost)
+        """The pool was replaced by a new one, which has none of the runs."""
+        self._inbox.put(self._runs.fail_lost_runs)
 
     def linked(self, link: int) -> None:
-        """The pool's link of this number is up, and the pool's notices have been replayed."""
+        """The pool's link with this number is up, and the missed notices have been replayed."""
         self._inbox.put(lambda: self._runs.resend_lost_commands(link))
 
     def drain(self, time_left_us: int) -> None:
-        """The server will be stopped after this time."""
+        """Start a drain: the server will be stopped after this time."""
         self._inbox.put(lambda: self._start_drain(time_left_us))
 
     def stop(self) -> None:
-        """End the thread."""
+        """End the event loop's thread."""
         self._inbox.put(self._stop)
 
-    # --- the thread
+    # --- in the event loop's thread
 
     def serve(self) -> None:
-        """Do what comes into the inbox, in its order, until stopped.
+        """Run the queued tasks in order until stopped.
 
-        Tasks that are there at the same time share a call of `handle`, whose fixed cost is the larger part
+        Tasks that are queued at the same time share one call of `handle`, because its fixed cost dominates
         under load.
         """
         self._handle()
@@ -206,11 +207,11 @@
         self._is_stopped = True
 
     def notify(self, event: Event) -> None:
-        """Have the controller handle this event next; in the event loop's thread."""
+        """Queue an event for the controller's next call; only in the event loop's thread."""
         self._events.append(event)
 
     def _follow_up(self, event: Event) -> None:
-        """Have the controller handle an event that an action caused, after all present actions."""
+        """Queue an event that an action caused, for the controller to handle after all current actions."""
         self._follow_up_events.append(event)
 
     def _handle(self, not_before: int = 0) -> None:
@@ -229,9 +230,9 @@
             self._follow_up_events = []
 
     def _timer_fired(self, event: TimerFired, due_at: int) -> None:
-        """From any thread: report a timer, but not as of a time before it was due.
+        """Report a timer as of its due time or later; may be called from any thread.
 
-        The controller would take one that came early for one that it has replaced.
+        The controller takes a timer that is reported before its due time for one that it has replaced.
         """
         self.post(lambda: self._handle_timer(event, due_at))
 
@@ -247,19 +248,19 @@
             self._durable_keys.drain(time_left_us)
         self.notify(DrainStarted(time_left_us))
 
-    # --- for durable keys; see `idempotency.durability.RequestOwner`
+    # --- for durable keys; see `idempotency.request_owner.RequestOwner`
 
     def start_run(self, in_flight: InFlightRequest) -> None:
-        """Have the pool run a request whose start is recorded; from any thread."""
+        """Have the pool run a request whose start is recorded; may be called from any thread."""
         self.executions.start(in_flight)
 
     def run_ended(self, in_flight: InFlightRequest, outcome: Outcome) -> None:
-        """A request will not run any more: whoever waits for its end is answered."""
+        """Answer the duplicates that wait for a request, which has ended and will not run again."""
         self._duplicates.complete_waiting(in_flight, outcome)
 
     def retry_arrival(self, request: Request) -> None:
-        """Handle the arrival of a request that had to wait."""
-        self._arrivals.arrive(request)
+        """Handle the arrival of a request that was deferred."""
+        self._arrivals.handle_arrival(request)
 
     def respond(
         self,
@@ -268,24 +269,24 @@
         body: bytes = b"",
         away_ms: int = 0,
     ) -> None:
-        """Give a request its final response, unless it has one; from any thread."""
+        """Give a request its final response, unless it has one; may be called from any thread."""
         self._responder.respond(request, status, body, away_ms)
 
     def run_never_started(self, in_flight: InFlightRequest) -> None:
-        """A request was to run, and provably has not."""
+        """End a request whose run was requested and provably never started."""
         self._runs.end(in_flight.request.uid, RUN_NEVER_STARTED)
 
     def run_ended_elsewhere(self, in_flight: InFlightRequest, result: bytes | None) -> None:
-        """Another incarnation ran a request, with this result; None: it failed."""
+        """End a request that another incarnation ran, with this result; None if the run failed."""
         code = RUN_FAILED if result is None else RUN_SUCCEEDED
         self._runs.end(in_flight.request.uid, code, 0, result or b"")
 
     def release(self, in_flight: InFlightRequest) -> None:
-        """Leave the duplicates of this request to the durable store from now on."""
+        """Leave the duplicates of this request to the durable store, and drop its key from memory."""
         self._duplicates.release(in_flight)
 
     def adopt_run(self, started_run: StartedRun, class_index: int, time_left: int) -> InFlightRequest:
-        """Take over a run of an earlier incarnation; only duplicates are owed its result."""
+        """Take over a run of an earlier incarnation. Its result is only sent to duplicates."""
         now = clock.now()
         request_class = self._settings.classes[class_index]
         in_flight = adopted_run(started_run, self._requests.next_id(), request_class, now)
--- a/cairnvane/server/event_loop_thread.py
+++ b/cairnvane/server/event_loop_thread.py
@@ -1,4 +1,4 @@
-"""The thread of the event loop; the process ends if it fails."""
+"""The thread that runs the event loop; the process ends if the thread fails."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-# How long the end of the process waits for the thread to finish its last task.
+# How long the process waits at its end for the thread to finish its last task.
 LAST_TASK_WAIT_S = 0.2
 MICROSECONDS_PER_SECOND = 1e6
 
@@ -20,7 +20,8 @@
 class EventLoopThread:
     """Runs the event loop in a thread of its own.
 
-    Without it no request would be answered, so its failure ends the process, which is then started again.
+    Without the event loop no request would be answered, so a failure ends the process, which the platform
+    then restarts.
     """
 
     def __init__(self, event_loop: EventLoop) -> None:
@@ -36,22 +37,22 @@
             raise
 
     def _fail(self) -> None:
-        """Wake the main thread, which waits for a signal, to end the process."""
+        """End the process by sending the signal that the main thread waits for."""
         self.has_failed.set()
         os.kill(os.getpid(), signal.SIGTERM)
 
     def fail_recovery(self, reason: str) -> None:
-        """End the process: the state of an earlier incarnation can't be read. From any thread."""
+        """End the process because an earlier incarnation's state can't be read; callable from any thread."""
         logger.error("recovery of stored results failed: %s", reason)
         self._fail()
 
     def stop(self, timeout_s: float | None = None) -> None:
-        """Stop the event loop and wait for its thread; None: without a limit."""
+        """Stop the event loop and wait for its thread; None waits without a limit."""
         self._event_loop.stop()
         self._thread.join(timeout_s)
 
     def component(self) -> Component:
-        """The thread as a component."""
+        """The lifecycle component that starts, drains and stops the thread."""
 
         def drain(shutdown: Shutdown) -> None:
             self._event_loop.drain(int(shutdown.time_left_s * MICROSECONDS_PER_SECOND))
--- a/cairnvane/server/executions.py
+++ b/cairnvane/server/executions.py
@@ -1,7 +1,7 @@
-"""The runs in the worker pool and their calls to the vault: sends commands, and again what may be lost.
+"""Runs in the worker pool and their vault calls: sends commands, and resends those that may be lost.
 
-Used by the event loop's thread alone, except `start`, which the thread that recorded a start may call.
-Nothing is decided here; `docs/server.md` has the table of what is sent again.
+Used only by the event loop's thread, except for `start`, which the thread that recorded a start may call.
+This module makes no admission decisions. `docs/server.md` has the table of what is sent again.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 
 logger = logging.getLogger(__name__)
 
-# Only the commands of the last 50 ms before a link broke can be lost. Noticing the break may take this much
-# longer; older commands have arrived.
+# Only commands sent in the last 50 ms before a link broke can be lost, and detecting the break may take up to
+# this long. Older commands have arrived.
 POSSIBLY_LOST_US = 1_000_000
 
-# The outcome that each of the pool's end codes stands for.
+# The outcome for each of the pool's end codes.
 OUTCOMES_BY_END_CODE = {
     RUN_SUCCEEDED: Outcome.OK,
     RUN_FAILED: Outcome.ERROR,
     RUN_CANCELLED: Outcome.CANCELLED,
     RUN_NEVER_STARTED: Outcome.NEVER_STARTED,
 }
-# The outcomes of a run that answer its client, and how.
+# The outcomes of a run that its client gets a response for, and the status of that response.
 RESPONSE_STATUSES = {Outcome.OK: ResponseStatus.SERVED, Outcome.ERROR: ResponseStatus.FAILED}
 
-# Takes a request whose call ended, the outcome, and the call's duration in microseconds.
+# Receives a request whose call ended, the outcome, and the call's duration in microseconds.
 CallEnded = Callable[[InFlightRequest, Outcome, int], None]
 
 
 class Executions:
     """Sends the commands for runs to the worker pool, and makes their calls to the vault.
 
-    `run_lost` takes a run of an earlier incarnation that is given up; `call_ended` takes the end of each
-    call. Both are called in the event loop's thread, which `post` has a task done in.
+    `run_lost` is called with a run of an earlier incarnation that is considered lost, `call_ended` at the end
+    of each call, both in the event loop's thread. `post` runs a task in that thread.
     """
 
     def __init__(
@@ -56,19 +56,19 @@
         run_lost: Callable[[InFlightRequest], None],
         call_ended: CallEnded,
     ) -> None:
-        self.vault = vault  # the address for all calls from now on; those under way end where they are
+        self.vault = vault  # the address for new calls; calls in progress keep the previous one
         self.calls_in_flight = 0  # calls to the vault that have not ended
-        self.commands_repeated = 0  # since the start: commands that a broken link may have lost
+        self.commands_repeated = 0  # commands that a broken link may have lost, since the process started
         self.cancellations = Cancellations(pool, post, run_lost)
         self._pool = pool
         self._post = post
         self._can_cancel = can_cancel  # the settings allow `suspend`
         self._call_ended = call_ended
-        # Guards `command_sent_at` and `command_link` of all requests: sending a command and noting its link
-        # are one step for whoever looks for commands that a link has lost.
+        # Guards `command_sent_at` and `command_link` of all requests. Sending a command and storing its link
+        # must be atomic for `resend_lost_commands`.
         self._commands_lock = threading.RLock()
-        # By class name, for classes with a finished run: whether every run made a call.
-        self._always_calls: dict[str, bool] = {}
+        # Whether every finished run of a class made a vault call, by class name.
+        self._every_run_made_call: dict[str, bool] = {}
 
     # --- commands to the pool
 
@@ -83,21 +83,23 @@
                 in_flight.command_link = self._pool.spawn(request.uid, request.class_name, request.body)
 
     def finished(self, in_flight: InFlightRequest, succeeded: bool) -> None:
-        """Note that the pool has reported the end of a run."""
+        """Update the state of a run whose end the pool has reported."""
         if in_flight.is_repeat_unread and self._can_cancel:
             self.cancellations.cancel_second_run(in_flight)
         in_flight.is_running = False
         in_flight.command_link = None
         in_flight.cancel_link = None
         self._abandon_call(in_flight)
-        was_started_here = in_flight.command_sent_at != 0  # else its calls were not seen
+        was_started_here = in_flight.command_sent_at != 0  # otherwise its calls were not observed
         if succeeded and was_started_here:
             class_name = in_flight.request_class.name
             made_a_call = in_flight.call_reply is not None
-            self._always_calls[class_name] = self._always_calls.get(class_name, True) and made_a_call
+            self._every_run_made_call[class_name] = (
+                self._every_run_made_call.get(class_name, True) and made_a_call
+            )
 
     def resend_lost_commands(self, link: int, requests: Iterable[InFlightRequest]) -> None:
-        """Send again what earlier links may have lost, now that the replay on `link` shows what arrived."""
+        """Resend commands that earlier links may have lost; the replay on `link` has shown which arrived."""
         spawned_again: list[InFlightRequest] = []
         repeated = 0
         cancelled = 0
@@ -111,30 +113,31 @@
                 elif self._is_command_lost(in_flight, link, lost_since):
                     repeated += 1
                     if in_flight.command_link and in_flight.call_reply is None:
-                        spawned_again.append(in_flight)  # that went out on a link, and may have arrived
+                        spawned_again.append(in_flight)  # sent on an earlier link, so it may have arrived
                     self.start(in_flight)
         self.commands_repeated += repeated
         logger.info(
             "worker pool link %d: %d commands and %d cancellations sent again", link, repeated, cancelled
         )
         if spawned_again:
-            self._watch_repeats(spawned_again)
+            self._track_repeated_spawns(spawned_again)
 
-    def _watch_repeats(self, spawned: list[InFlightRequest]) -> None:
-        """Remember which runs were spawned again until the pool has read that.
+    def _track_repeated_spawns(self, spawned: list[InFlightRequest]) -> None:
+        """Mark the runs whose `spawn` was sent again, until the pool has read the repeated command.
 
-        A run may end before: then the repeated `spawn` begins it a second time, unseen.
+        If a run ends before that, the repeated `spawn` starts it a second time, which the server
+        can't observe.
         """
         for in_flight in spawned:
             in_flight.is_repeat_unread = True
 
-        def synced(is_linked: bool) -> None:
+        def on_synced(is_linked: bool) -> None:
             if is_linked:
-                self._post(lambda: self._repeats_read(spawned))
+                self._post(lambda: self._unmark_repeated_spawns(spawned))
 
-        self._pool.sync(synced)
+        self._pool.sync(on_synced)
 
-    def _repeats_read(self, spawned: list[InFlightRequest]) -> None:
+    def _unmark_repeated_spawns(self, spawned: list[InFlightRequest]) -> None:
         for in_flight in spawned:
             in_flight.is_repeat_unread = False
 
@@ -154,25 +157,26 @@
             return True
         if in_flight.command_sent_at < lost_since:
             return False
-        # A run takes no second `spawn` while it goes on, and one that makes a call can't end unseen.
-        return resumes or self._always_calls.get(request_class.name, False)
+        # The pool ignores a second `spawn` while the run continues, and a run that makes a call can't end
+        # unnoticed.
+        return resumes or self._every_run_made_call.get(request_class.name, False)
 
     def cancel(self, in_flight: InFlightRequest) -> None:
-        """Cancel a run; it keeps its place until its end is reported."""
+        """Cancel a run. It occupies its concurrency slot until its end is reported."""
         self.cancellations.cancel(in_flight)
 
     # --- calls to the vault
 
     def make_call(self, in_flight: InFlightRequest, timeout: int) -> None:
-        """Make the call that a run waits for, with a timeout in microseconds, unless it no longer waits."""
+        """Make the call a run waits for, with a timeout in microseconds, unless the request has ended."""
         if not in_flight.is_running or not in_flight.request.is_open:
             return
 
-        def ended(outcome: Outcome, body: bytes, duration: int) -> None:
+        def on_ended(outcome: Outcome, body: bytes, duration: int) -> None:
             self._post(lambda: self._end_call(in_flight, call, outcome, body, duration))
 
         self.calls_in_flight += 1
-        call = VaultCall(self.vault, in_flight.request.uid, in_flight.call_body, timeout, ended)
+        call = VaultCall(self.vault, in_flight.request.uid, in_flight.call_body, timeout, on_ended)
         in_flight.vault_call = call
 
     def _end_call(
@@ -184,7 +188,7 @@
         duration: int,
     ) -> None:
         if in_flight.vault_call is not call:
-            return  # abandoned meanwhile
+            return  # the call was abandoned in the meantime
         in_flight.vault_call = None
         self.calls_in_flight -= 1
         if outcome is Outcome.OK:
@@ -195,7 +199,7 @@
     def client_disconnected(self, in_flight: InFlightRequest) -> None:
         """Abandon the call of a run whose client no longer waits, and cancel the run if it waits for a call.
 
-        Guards against a pool that would not notice, and keep such a run and its memory for good.
+        Without the cancellation the pool would keep such a run and its memory indefinitely.
         """
         self._abandon_call(in_flight)
         waits_for_call = in_flight.is_running and in_flight.command_link is None
--- a/cairnvane/server/health_checks.py
+++ b/cairnvane/server/health_checks.py
@@ -1,4 +1,4 @@
-"""Answers health checks as the controller asked last."""
+"""Answers health checks with the health state that the controller set last."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 
 
 class HealthResponder:
-    """Answers health checks: healthy until the controller says otherwise.
+    """Answers health checks; the state is healthy until the controller sets another one.
 
-    For a deep check the pool does real work, unless the answer is to come from cache. `load` gives the load
-    signal that goes with an answer.
+    For a deep check the pool does real work, unless the controller asked for cached answers. `load` returns
+    the load signal to send with an answer.
 
-    The pool does the work of one deep check at a time, and its result answers all that arrived meanwhile.
-    Guards against a flood of deep checks: each would cost the pool cores, and this process a timer's thread.
+    The pool does the work of one deep check at a time, and its result answers all deep checks that arrived in
+    the meantime. Otherwise, in a flood of deep checks, each would cost the pool CPU time and this process a
+    timer thread.
     """
 
     def __init__(self, pool: WorkerPool, load: Callable[[], float | None]) -> None:
@@ -26,10 +27,10 @@
         self._is_healthy = True
         self._is_cached = False
         self._lock = threading.Lock()  # guards `_waiting`
-        self._waiting: list[HealthCheck] = []  # deep checks, for the work that is under way
+        self._waiting: list[HealthCheck] = []  # deep checks that wait for the result of the work in progress
 
     def set(self, action: SetHealth) -> None:
-        """Answer so from now on."""
+        """Set the state for all answers from now on."""
         self._is_healthy = action.healthy
         self._is_cached = action.cached
 
@@ -46,7 +47,7 @@
             self._pool.verify(self._verified)
 
     def _verified(self, succeeded: bool) -> None:
-        """In the thread of the pool's link, or of its timer."""
+        """Answer the waiting checks; called in the thread of the pool's link or of its timer."""
         with self._lock:
             waiting = self._waiting
             self._waiting = []
--- a/cairnvane/server/in_flight.py
+++ b/cairnvane/server/in_flight.py
@@ -1,4 +1,4 @@
-"""The requests in flight: the state of each, and the table that finds them by number and by uid."""
+"""The requests in flight: the state of each, and the table that finds them by request id and by uid."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 from ..idempotency.store import StartedRun, StoredEntry
 from ..net.vault import VaultCall
 
-# The command link of a run that an earlier incarnation started: older than any link of this process.
-EARLIER_LINK = -1
+# The command link of a run that an earlier incarnation started: less than any link number of this process.
+EARLIER_INCARNATION_LINK = -1
 
 
 @dataclass(slots=True)
 class InFlightRequest:
-    """The state of one request, from its arrival until no duplicate can want its result any more."""
+    """The state of one request, from its arrival until no duplicate can need its result."""
 
     request_id: int
     request: Request
     request_class: RequestClass
     duplicate_of: int | None
-    stored_entry: StoredEntry | None = None  # of its original request, if only the store still has that
+    stored_entry: StoredEntry | None = None  # of its original request, if only the store still has that one
     fingerprint: bytes = b""  # equal for all attempts of one request; empty without a durable store
-    is_queued: bool = True  # neither started nor over
-    is_running: bool = False  # the pool runs it, or has been told to
-    outcome: Outcome | None = None  # how it ended, if it is over
-    result: bytes = b""  # cached while a duplicate may want it
-    waiting_duplicates: list[int] = field(default_factory=list)  # the numbers of those that wait for its end
+    is_queued: bool = True  # neither started nor ended
+    is_running: bool = False  # the pool runs it, or its start was requested
+    outcome: Outcome | None = None  # how the run ended; None before that
+    result: bytes = b""  # cached while a duplicate may need it
+    waiting_duplicates: list[int] = field(default_factory=list)  # ids of duplicates that wait for its end
     vault_call: VaultCall | None = None
     call_body: bytes = b""
     call_notice: int = 0  # the position of the pool's notice that asked for the call
-    call_reply: bytes | None = None  # of its last call; None before the first one
-    command_link: int | None = None  # the link its last command was sent on; None: known to have arrived
-    command_sent_at: int = 0  # when that was, in microseconds of the monotonic clock
-    cancel_link: int | None = None  # the link its cancellation was sent on
-    client_left: bool = False  # its client has disconnected: the request is over, whatever was answered
-    is_confirmation_sent: bool = False  # the pool was asked whether its run goes on
+    call_reply: bytes | None = None  # the reply to its last call; None before the first one
+    command_link: int | None = None  # link on which its last command was sent; None if it has arrived
+    command_sent_at: int = 0  # when its last command was sent, in microseconds of the monotonic clock
+    cancel_link: int | None = None  # link on which its cancellation was sent
+    has_client_disconnected: bool = False  # the request has then ended, whatever the response was
+    is_confirmation_sent: bool = False  # the pool was asked whether its run continues
     is_repeat_unread: bool = False  # its `spawn` was sent again, and the pool may not have read that yet
 
     @property
     def is_adopted(self) -> bool:
-        """Whether an earlier incarnation started its run, and this one knows no more than its fingerprint."""
-        return self.command_link == EARLIER_LINK
+        """Whether an earlier incarnation started its run; its fingerprint is known then, but not its body."""
+        return self.command_link == EARLIER_INCARNATION_LINK
 
     @property
     def is_keyed(self) -> bool:
@@ -53,8 +53,8 @@
     def is_retry_of(self, request: Request, fingerprint: bytes) -> bool:
         """Whether `request` can be another attempt of this one.
 
-        `fingerprint` is that of `request`, or empty without a durable store. Of a run that was adopted from
-        an earlier incarnation nothing but the fingerprint is known.
+        `fingerprint` is that of `request`, or empty without a durable store. For a run adopted from an
+        earlier incarnation only the fingerprint is known.
         """
         if fingerprint:
             return self.fingerprint == fingerprint
@@ -62,7 +62,7 @@
 
 
 class InFlightTable:
-    """All requests in flight, by number and by uid; used by the event loop's thread alone."""
+    """All requests in flight, by request id and by uid; used only by the event loop's thread."""
 
     __slots__ = ("_by_id", "_by_uid", "_last_id", "find", "find_uid")
 
@@ -70,29 +70,29 @@
         self._by_id: dict[int, InFlightRequest] = {}
         self._by_uid: dict[str, InFlightRequest] = {}
         self._last_id = 0
-        # Called for every event: bound methods of the dictionaries save a frame each.
-        self.find = self._by_id.get  # by number
+        # Called for every event: bound methods of the dictionaries save one Python frame per call.
+        self.find = self._by_id.get  # by request id
         self.find_uid = self._by_uid.get
 
     def next_id(self) -> int:
-        """A new request number; they count from 1."""
+        """Allocate a request id; ids count up from 1."""
         self._last_id += 1
         return self._last_id
 
     def add(self, in_flight: InFlightRequest) -> None:
-        """Enter a request under its number and its uid."""
+        """Add a request under its id and its uid."""
         self._by_id[in_flight.request_id] = in_flight
         self._by_uid[in_flight.request.uid] = in_flight
 
     def remove(self, in_flight: InFlightRequest) -> None:
-        """Remove a request, if it is there; another one that has its uid by now stays."""
+        """Remove a request if it is present. Another request that uses the same uid by now is kept."""
         self._by_id.pop(in_flight.request_id, None)
         uid = in_flight.request.uid
         if self._by_uid.get(uid) is in_flight:
             del self._by_uid[uid]
 
     def all(self) -> list[InFlightRequest]:
-        """All requests, the oldest first; the list does not change with the table."""
+        """All requests, the oldest first, in a list that does not change with the table."""
         return list(self._by_id.values())
 
 
@@ -102,7 +102,7 @@
     request_class: RequestClass,
     now: int,
 ) -> InFlightRequest:
-    """The state of a run of an earlier incarnation, whose client disconnected when that ended."""
+    """The state of a run of an earlier incarnation, whose client was disconnected when that one ended."""
     request = Request(
         lambda response: None,
         started_run.uid,
@@ -120,6 +120,6 @@
         None,
         is_queued=False,
         is_running=True,
-        command_link=EARLIER_LINK,
+        command_link=EARLIER_INCARNATION_LINK,
         fingerprint=started_run.fingerprint,
     )
--- a/cairnvane/server/lifecycle.py
+++ b/cairnvane/server/lifecycle.py
@@ -1,7 +1,7 @@
 """The components of a server: each starts after those that it depends on, and stops before them.
 
-What a component does stands elsewhere; here is only the order. An optional component that is turned off is
-not added, and nothing of it is imported.
+This module defines only the order; the components are defined in their own modules. An optional component
+that is disabled is not added, and its modules are not imported.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 
 class ComponentError(ValueError):
-    """A component can't be added; the message names it and the cause."""
+    """A component can't be added; the message has its name and the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Shutdown:
-    """How this process shuts down; passed to all components."""
+    """The parameters of this process's shutdown, passed to all components."""
 
-    time_left_s: float  # until all requests must have been answered
-    grace_s: float  # of that, how long new requests may still arrive
-    handover: bool  # a later incarnation takes the new connections
+    time_left_s: float  # time until all requests must have been answered
+    grace_s: float  # the first part of that time, in which new requests may still arrive
+    handover: bool  # a later incarnation accepts the new connections
 
 
 def _do_nothing() -> None:
@@ -33,25 +33,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Component:
-    """One component of a server. No call blocks but `stop`, and that no longer than the time that is left."""
+    """One component of a server. Only `stop` may block, for at most the time that is left."""
 
     name: str
     depends_on: tuple[str, ...] = ()  # components that start before it and stop after it
     start: Callable[[], None] = _do_nothing
-    on_shutdown: Callable[[Shutdown], None] = _ignore_shutdown  # the graceful shutdown begins
-    stop: Callable[[Shutdown], None] = _ignore_shutdown  # the grace is over
+    on_shutdown: Callable[[Shutdown], None] = _ignore_shutdown  # called when the graceful shutdown begins
+    stop: Callable[[Shutdown], None] = _ignore_shutdown  # called when the grace period has ended
 
 
 class Lifecycle:
-    """Components in the order in which they start."""
+    """Starts components in the order in which they were added, and stops them in reverse."""
 
     def __init__(self) -> None:
         self._components: list[Component] = []
 
     def add(self, component: Component | None) -> None:
-        """Add a component; None, one that is turned off, changes nothing.
+        """Add a component; None stands for a disabled one and is ignored.
 
-        Raises `ComponentError` if it was added before, or something that it depends on was not.
+        Raises `ComponentError` if it was already added, or if a component that it depends on was not.
         """
         if component is None:
             return
@@ -64,16 +64,16 @@
         self._components.append(component)
 
     def start(self) -> None:
-        """Start all components, the first one first."""
+        """Start all components in the order in which they were added."""
         for component in self._components:
             component.start()
 
     def begin_shutdown(self, shutdown: Shutdown) -> None:
-        """Announce the shutdown to all components, the last one first."""
+        """Announce the shutdown to all components, in reverse order."""
         for component in reversed(self._components):
             component.on_shutdown(shutdown)
 
     def stop(self, shutdown: Shutdown) -> None:
-        """Stop all components, the last one first."""
+        """Stop all components, in reverse order."""
         for component in reversed(self._components):
             component.stop(shutdown)
--- a/cairnvane/server/load_snapshot.py
+++ b/cairnvane/server/load_snapshot.py
@@ -1,4 +1,4 @@
-"""For the metrics: what the server believes of its load, beside what the machine's gauges say."""
+"""A snapshot of the server's load for the metrics: its own counts, and the machine's gauges."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSnapshot:
-    """The state at the controller's last timer; the names are the keys of the metrics.
+    """The state at the controller's last timer. The field names are the keys in the metrics.
 
-    A timer fires at least every 50 ms while anything is pending, and less often while nothing is.
+    A timer fires at least every 50 ms while requests are pending, and less often while none are.
     """
 
     queued: int = 0
@@ -22,28 +22,28 @@
     awaiting_call: int = 0
     calling: int = 0
     idempotency_keys: int = 0
-    memory_kb: float = 0.0  # booked for requests, without keys
+    memory_kb: float = 0.0  # reserved for requests; excludes the keys
     concurrency_limit: int = 0
-    ceiling: float = 0.0  # runs that the cores survive, less those that no table has
+    ceiling: float = 0.0  # number of runs that the cores survive, less the unaccounted runs
     call_limit: float = 0.0
     admission_probability: float = 1.0
-    unaccounted_runs: float = 0.0  # on the machine by its gauge, and in no table
+    unaccounted_runs: float = 0.0  # on the machine according to its gauge, but in no table
     draining: bool = False
-    gauges: dict[str, float | None] = field(default_factory=dict)  # None: it did not come in time
+    gauges: dict[str, float | None] = field(default_factory=dict)  # None if the value did not arrive in time
     pool_link: int = 0  # the number of the link in use, counted from 1
-    commands_repeated: int = 0  # since the start, as all that follow
+    commands_repeated: int = 0  # since the process started, as are all following fields
     cancellations: dict[str, int] = field(default_factory=dict)
     ended_without_run: dict[str, int] = field(default_factory=dict)  # by reason
 
     def as_json(self) -> dict[str, Any]:
-        """The snapshot for the metrics."""
+        """Return the snapshot as a dictionary for the JSON metrics."""
         return asdict(self)
 
 
 def take_snapshot(
     controller: Controller, executions: Executions, gauges: TimerFired, ended_without_run: dict[str, int]
 ) -> LoadSnapshot:
-    """The present state; called in the event loop's thread."""
+    """Return the current state; called in the event loop's thread."""
     requests = controller.requests
     return LoadSnapshot(
         queued=len(controller.queue),
--- a/cairnvane/server/main.py
+++ b/cairnvane/server/main.py
@@ -21,7 +21,8 @@
 
 logger = logging.getLogger(__name__)
 
-# All requests are answered this long before the process is stopped, with time for a late thread and the exit.
+# All requests are answered this long before the process is killed, which leaves time for a delayed thread and
+# for the exit.
 STOP_MARGIN_MS = 300
 DEFAULT_TEMPORARY_FOLDER = "/tmp"
 MICROSECONDS_PER_SECOND = 1e6
@@ -29,15 +30,15 @@
 
 
 class ExitStatus(IntEnum):
-    """How the process ended."""
+    """Exit status of the process."""
 
     OK = 0
-    FAILED = 1  # while it served
-    MISCONFIGURED = 2  # it never served
+    FAILED = 1  # an error while serving
+    MISCONFIGURED = 2  # it never started serving
 
 
 class StartupError(Exception):
-    """The server can't start; the message is the line for the operators."""
+    """The server can't start; the message is logged as one line for the operators."""
 
 
 def _build(configuration: config.Config, step_observer: StepObserver | None) -> composition.Server:
@@ -49,7 +50,8 @@
         shared_state = composition.open_shared_state(configuration, options, temporary_folder, step_observer)
     except ImportError as error:
         raise StartupError(
-            f"the operator's file {operator_path} needs more: {error}; pip install '.[operator]'"
+            f"the operator's file {operator_path} needs a library that is not installed: {error}; "
+            f"pip install '.[operator]'"
         ) from None
     try:
         return composition.build(configuration, options, shared_state)
@@ -58,7 +60,7 @@
 
 
 def _plan_shutdown(configuration: config.Config, server: composition.Server) -> Shutdown:
-    """How to shut down: at once, if a later incarnation listens at the same address and can serve."""
+    """Plan the shutdown; without a grace period if a later incarnation can serve at the same address."""
     time_left_s = max(0, configuration.stop_ms - STOP_MARGIN_MS) / MILLISECONDS_PER_SECOND
     handover = server.incarnations is not None and server.incarnations.has_successor()
     drain_grace_s = configuration.settings.drain_grace / MICROSECONDS_PER_SECOND
@@ -67,8 +69,8 @@
 
 
 def _serve(configuration: config.Config, server: composition.Server) -> ExitStatus:
-    """Start the server, and shut it down when a signal asks for it."""
-    gc.freeze()  # what was loaded stays: full collections need not traverse it
+    """Start the server, and shut it down when a shutdown signal arrives."""
+    gc.freeze()  # objects loaded so far are permanent, so full collections need not traverse them
     server.lifecycle.start()
     reloader = Reloader(configuration, server.event_loop, server.pool, server.registry)
     wait_for_shutdown(lambda: reloader.reload(os.environ))
@@ -78,20 +80,20 @@
     shutdown = _plan_shutdown(reloader.current, server)
     server.lifecycle.begin_shutdown(shutdown)
     if shutdown.handover:
-        logger.info("shutdown: a later process serves here: this one hands over")
+        logger.info("shutdown: a later process can serve at this address; this one hands over")
     threading.Event().wait(shutdown.grace_s)
     server.lifecycle.stop(shutdown)
     return ExitStatus.OK
 
 
 def main(step_observer: StepObserver | None = None) -> int:
-    """Serve until a signal to shut down; returns the exit status.
+    """Serve until a shutdown signal arrives; returns the exit status.
 
-    `step_observer` is called with the name of each step of the durable store, for tests of crashes.
+    `step_observer` is called with the name of each step of the durable store; crash tests use it.
     """
     logging_setup.use_plain_lines()
     logging_setup.use_level("info")
-    block_signals()  # before anything that takes time: a signal to reload would end the process until then
+    block_signals()  # before anything slow, since an unblocked reload signal would end the process
     try:
         configuration = config.load(os.environ)
         server = _build(configuration, step_observer)
--- a/cairnvane/server/member_setup.py
+++ b/cairnvane/server/member_setup.py
@@ -1,4 +1,4 @@
-"""Sets up membership, which is imported only if the operator turned it on."""
+"""Sets up membership, which is imported only if the operator enables it."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 logger = logging.getLogger(__name__)
 
-# Sent to the other members; the same as in pyproject.toml.
+# The package version as in pyproject.toml; sent to the other members.
 VERSION = "0.2.0"
 
 
 class Membership(NamedTuple):
-    """The sink that requests are handed to, and the channel to the other members; None: it is off."""
+    """The sink that receives requests, and the transport to other members (None if disabled)."""
 
     request_sink: RequestSink
     transport: MemberTransport | None
 
 
 def check_name(name: str) -> None:
-    """Raise a `ConfigurationError` if the server's name does not fit into the members' messages."""
+    """Raise a `ConfigurationError` if the server's name is too long for the membership messages."""
     from ..membership.member_table import MOST_NAME
 
     if len(name) > MOST_NAME:
@@ -51,7 +51,7 @@
     pool: WorkerPool,
     registry: ServiceRegistry,
 ) -> Membership:
-    """Set up membership, if it is on; its observer then sees every request before the event loop.
+    """Set up membership if it is enabled; its observer then receives every request before the event loop.
 
     Raises `OSError` if the transport can't listen.
     """
@@ -83,7 +83,7 @@
 
 
 def members_component(transport: MemberTransport | None) -> Component | None:
-    """Joins the other members, tells them of a drain, and leaves them."""
+    """The lifecycle component that joins the other members, announces a drain to them, and leaves."""
     if transport is None:
         return None
     return Component(
--- a/cairnvane/server/reload.py
+++ b/cairnvane/server/reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration while the server runs: the addresses of its peers may change."""
+"""Reloads the configuration while the server runs, since the addresses of its peers may change."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Reloader:
-    """Reads the configuration again, and moves the server's links to the addresses in it."""
+    """Reads the configuration again and switches the server's connections to the addresses in it."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._registry = registry
 
     def reload(self, environment: Mapping[str, str]) -> None:
-        """Go over to the configuration that `environment` names; a faulty one changes nothing."""
+        """Switch to the configuration that `environment` names; an invalid one has no effect."""
         try:
             new = config.load(environment)
         except config.ConfigurationError as error:
--- a/cairnvane/server/responder.py
+++ b/cairnvane/server/responder.py
@@ -1,4 +1,4 @@
-"""Final responses to requests, each with the load that the controller reported last."""
+"""Sends final responses to requests, each with the load signal that the controller reported last."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     __slots__ = ("reported_load",)
 
     def __init__(self) -> None:
-        self.reported_load: float | None = None  # the load signal of all responses from now on
+        self.reported_load: float | None = None  # the load signal to send with each response
 
     def respond(
         self,
@@ -33,5 +33,5 @@
         )
 
     def respond_invalid(self, request: Request) -> None:
-        """Fail a request that no balancer sends."""
+        """Fail a malformed request, which no correct balancer sends."""
         request.respond(Response(ResponseStatus.FAILED, load=self.reported_load, invalid_request=True))
--- a/cairnvane/server/runs.py
+++ b/cairnvane/server/runs.py
@@ -1,4 +1,4 @@
-"""Runs: what the pool's notices and disconnected clients mean for the requests that they concern."""
+"""Runs: applies the pool's notices and the disconnects of clients to the requests in flight."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from .in_flight import InFlightRequest, InFlightTable
 from .responder import Responder
 
-if TYPE_CHECKING:  # only where an operator turned it on
+if TYPE_CHECKING:  # imported only if the operator enables durable keys
     from ..idempotency.durability import DurableKeys
 
 logger = logging.getLogger(__name__)
 
 
 class Runs:
-    """Follows the runs of the requests in flight; used by the event loop's thread alone.
+    """Tracks the runs of the requests in flight; used only by the event loop's thread.
 
-    `notice` is the position of the notice in the pool's stream of notices, 0 if there is none. `notify` takes
-    the events for the controller.
+    The parameter `notice` of its methods is the position of a notice in the pool's stream of notices, 0 if
+    there is none. `notify` queues an event for the controller.
     """
 
     def __init__(
@@ -44,18 +44,18 @@
         self._durable_keys = durable_keys
         self._notify = notify
 
-    def disconnect(self, request: Request) -> None:
-        """The client of a request has disconnected."""
+    def handle_disconnect(self, request: Request) -> None:
+        """Abandon the call of a request whose client has disconnected, and report the disconnect."""
         in_flight = self._requests.find_uid(request.uid)
         if in_flight is None or in_flight.request is not request:
             return
-        in_flight.client_left = True
+        in_flight.has_client_disconnected = True
         self._executions.client_disconnected(in_flight)
         self._notify(ClientDisconnected(in_flight.request_id))
-        self._duplicates.remove_if_over(in_flight)
+        self._duplicates.remove_if_complete(in_flight)
 
     def _skip_notice(self, position: int) -> None:
-        """A notice that changes nothing for any key was read."""
+        """Record that a notice was read that does not affect any key."""
         if self._durable_keys is not None:
             self._durable_keys.notice_read(position)
 
@@ -67,7 +67,7 @@
         result: bytes = b"",
         notice: int = 0,
     ) -> None:
-        """End the run of this request, as the pool's code says, after `duration` microseconds."""
+        """End the run of this request with the pool's end code, after `duration` microseconds."""
         in_flight = self._requests.find_uid(uid)
         if in_flight is None or not in_flight.is_running:
             self._skip_notice(notice)
@@ -79,17 +79,17 @@
             in_flight.result = result
         if self._durable_keys is not None and in_flight.is_keyed:
             self._durable_keys.run_ended(in_flight, outcome, notice)
-            is_recorded_first = outcome is Outcome.OK  # its response waits for the record of its result
+            is_recorded_first = outcome is Outcome.OK  # the response is sent once the result is recorded
         else:
             self._skip_notice(notice)
             is_recorded_first = False
         if not is_recorded_first:
             self._complete(in_flight, outcome, result)
         self._notify(RunFinished(in_flight.request_id, outcome, duration))
-        self._duplicates.remove_if_over(in_flight)
+        self._duplicates.remove_if_complete(in_flight)
 
     def _complete(self, in_flight: InFlightRequest, outcome: Outcome, result: bytes) -> None:
-        """Answer the client of a run, if its end is an answer, and its duplicates."""
+        """Answer the client of a run, if the outcome has a response status, and the waiting duplicates."""
         status = RESPONSE_STATUSES.get(outcome)
         if status is not None:
             body = result if outcome is Outcome.OK else b""
@@ -115,14 +115,15 @@
         if self._durable_keys is None or not in_flight.is_keyed:
             self._skip_notice(notice)
         elif not self._durable_keys.call_requested(in_flight):
-            self._executions.cancel(in_flight)  # its call may have been made, and would be made twice
+            # The call may already have been made, and must not be made twice.
+            self._executions.cancel(in_flight)
             return
         self._notify(CallRequested(in_flight.request_id))
         if not in_flight.request.is_open:
             self._executions.client_disconnected(in_flight)
 
-    def fail_lost(self) -> None:
-        """Fail the runs of a replaced pool: no notice of their end will come.
+    def fail_lost_runs(self) -> None:
+        """Fail the runs of a replaced pool, since no notice of their end will come.
 
         They may have had an effect, so they are not run again.
         """
@@ -136,7 +137,7 @@
             self._durable_keys.pool_replaced()  # after the ends, which settle notices of the previous pool
 
     def resend_lost_commands(self, link: int) -> None:
-        """Send again what the links before this one may have lost."""
+        """Resend the commands that links before this one may have lost."""
         if self._durable_keys is not None:
             self._durable_keys.pool_linked()
         self._executions.resend_lost_commands(link, self._requests.all())
--- a/cairnvane/server/signals.py
+++ b/cairnvane/server/signals.py
@@ -1,29 +1,29 @@
-"""The signals that the process obeys: shutdown, and reload of the configuration."""
+"""The signals that the process handles: shutdown, and reload of the configuration."""
 
 from __future__ import annotations
 
 import signal
 from collections.abc import Callable
 
-# Each of these begins a graceful shutdown.
+# Each of these signals starts a graceful shutdown.
 LEAVE = {signal.SIGTERM, signal.SIGINT}
-# Has the configuration read again.
+# The signal that reloads the configuration.
 RELOAD = signal.SIGHUP
 
 
 def block_signals() -> None:
-    """Block the signals in this thread, and in those that it starts; to be called first of all.
+    """Block the signals in this thread and in those that it starts; must be called before anything else.
 
-    The main thread waits for them instead. Guards against a lost shutdown: a handler runs in the main thread
-    only when that wakes, and a signal that the kernel delivers to another thread does not wake it.
+    The main thread receives them with `sigwait`. With a handler, a shutdown could be lost: Python runs
+    handlers only in the main thread, and a signal delivered to another thread does not wake it.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, LEAVE | {RELOAD})
-    # The shell that starts the program has it ignored until then, and a blocked signal that is ignored may be
-    # dropped.
+    # The shell that starts the program sets the reload signal to be ignored, and the kernel may drop a signal
+    # that is both blocked and ignored.
     signal.signal(RELOAD, signal.SIG_DFL)
 
 
 def wait_for_shutdown(reload: Callable[[], None]) -> None:
-    """Return at a signal to shut down; call `reload` at each signal to reload before."""
+    """Call `reload` at each reload signal, and return at the first shutdown signal."""
     while signal.sigwait(LEAVE | {RELOAD}) == RELOAD:
         reload()
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -1,6 +1,6 @@
-"""Sets up this process as an incarnation of its server, and the store of idempotency keys that it shares.
+"""Registers this process as an incarnation of its server, and opens the store of keys that they share.
 
-The durable store is imported only if the operator turned it on.
+The durable store is imported only if the operator enables it.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 logger = logging.getLogger(__name__)
 
-# In the temporary folder: the claims of concurrent incarnations, with a folder for each name and boot.
+# Folder in the temporary folder for the claims of concurrent incarnations, one subfolder per name and boot.
 CLAIMS_FOLDER = "cairnvane-ledger"
-BOOT_ID_DIGITS = 8  # of a boot's id, in the name of a folder of claims
+BOOT_ID_DIGITS = 8  # digits of the boot id in the name of a claims folder
 
 
 class SharedState(NamedTuple):
-    """What the incarnations of one server share; None where its folder can't be used."""
+    """The state that the incarnations of one server share; None for a part whose folder can't be used."""
 
     incarnations: Incarnations | None
     store: IdempotencyStore | None
@@ -44,17 +44,19 @@
     temporary_folder: Path,
     step_observer: StepObserver | None,
 ) -> SharedState:
-    """Enter this process among the incarnations of its server, and open the store of their keys.
+    """Register this process as an incarnation of its server, and open the store of their keys.
 
-    Raises `ConfigurationError` if another version of the program serves here that this one can't work beside,
-    or the operator's folder can't be used.
+    Raises `ConfigurationError` if an incompatible version of the program is running for this server, or if
+    the operator's folder can't be used.
     """
     if keyed is not None:
-        incarnations = _enter(configuration, temporary_folder, Path(keyed.folder) / INCARNATIONS_FOLDER)
+        incarnations = _register_incarnation(
+            configuration, temporary_folder, Path(keyed.folder) / INCARNATIONS_FOLDER
+        )
         return SharedState(
             incarnations, _open_durable_store(configuration, keyed, incarnations, step_observer)
         )
-    incarnations = _enter(
+    incarnations = _register_incarnation(
         configuration, temporary_folder, temporary_folder / INCARNATIONS_FOLDER / configuration.name
     )
     if incarnations is None:
@@ -64,7 +66,7 @@
 
 
 def _short_boot_id() -> str:
-    """For the name of a folder of claims: times in it are of one boot's clock."""
+    """The boot id in the name of a claims folder, whose times are valid only for one boot's clock."""
     return (clock.boot_id() or "unknown")[:BOOT_ID_DIGITS]
 
 
@@ -72,13 +74,15 @@
     return max(cls.client_timeout for cls in configuration.settings.classes)
 
 
-def _enter(configuration: config.Config, temporary_folder: Path, folder: Path) -> Incarnations | None:
-    """Enter this process among the incarnations of its server; None if the folder can't be used."""
+def _register_incarnation(
+    configuration: config.Config, temporary_folder: Path, folder: Path
+) -> Incarnations | None:
+    """Register this process as an incarnation of its server; None if the folder can't be used."""
     pid = legacy.find_serving_process(temporary_folder, configuration.name)
     if pid is not None:
         raise config.ConfigurationError(
-            f"an earlier version of the program serves here (process {pid}), which keeps keyed runs in "
-            f"another form: end it first"
+            f"an earlier version of the program is running for this server (process {pid}) and stores keyed "
+            f"runs in another format: stop it first"
         )
     incarnations = Incarnations(folder)
     try:
@@ -96,17 +100,19 @@
 ) -> ClaimLog | None:
     """Open the claims of concurrent incarnations; None if the folder can't be used.
 
-    Without it, each incarnation knows its own keys alone.
+    Without it, each incarnation knows only its own keys.
     """
     claims = ClaimLog(OsFolder(folder), incarnations, unread=_max_client_timeout(configuration))
     try:
         claims.open()
     except NewerVersionError as error:
         raise config.ConfigurationError(
-            f"{folder}: a later version of the program serves here: {error}"
+            f"{folder}: a later version of the program is in use: {error}"
         ) from None
     except OSError as error:
-        logger.warning("keys of other processes: %s; a later version may run a retry again", error)
+        logger.warning(
+            "claims folder can't be used: %s; a later process may run a retry a second time", error
+        )
         return None
     return claims
 
@@ -147,8 +153,8 @@
     return TakeoverStore(store, claims, folder, claims_folder, power=survives_power_loss)
 
 
-def durable_keys(store: IdempotencyStore | None, configuration: config.Config) -> DurableKeys | None:
-    """The event loop's side of a store."""
+def create_durable_keys(store: IdempotencyStore | None, configuration: config.Config) -> DurableKeys | None:
+    """Create the event loop's interface to a store; None without a store."""
     if store is None:
         return None
     from ..idempotency.durability import DurableKeys
@@ -157,14 +163,14 @@
 
 
 def incarnations_component(incarnations: Incarnations | None) -> Component | None:
-    """Leaves the incarnations when everything else has stopped."""
+    """The component that unregisters this incarnation after all other components have stopped."""
     if incarnations is None:
         return None
     return Component("incarnations", stop=lambda shutdown: incarnations.leave())
 
 
 def store_component(store: IdempotencyStore | None) -> Component | None:
-    """Closes the store; it is started with the pool's link, see `pool_component`."""
+    """The component that closes the store, which `pool_component` starts together with the pool's link."""
     return None if store is None else Component("store", stop=lambda shutdown: store.close())
 
 
@@ -172,9 +178,14 @@
     event_loop: EventLoop,
     pool: WorkerPool,
     keys: DurableKeys | None,
-    fail: Callable[[str], None],
+    on_recovery_failed: Callable[[str], None],
 ) -> Component:
-    """The link to the worker pool, which waits for the recovery of keys; `fail`: they can't be recovered."""
+    """The component for the worker pool's link, which waits for the recovery of the keys.
+
+    `on_recovery_failed` is called with the cause if the keys can't be recovered.
+    """
     if keys is None:
         return Component("pool", ("event loop",), start=pool.start)
-    return Component("pool", ("event loop", "store"), start=lambda: keys.start(event_loop, pool, fail))
+    return Component(
+        "pool", ("event loop", "store"), start=lambda: keys.start(event_loop, pool, on_recovery_failed)
+    )
--- a/cairnvane/server/timers.py
+++ b/cairnvane/server/timers.py
@@ -1,4 +1,4 @@
-"""The controller's timers: each is a timer thread, which fetches the resource gauges when it is due."""
+"""The controller's timers. Each is a timer thread that fetches the resource gauges when it is due."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 class ControllerTimers:
     """Starts timers, and reports those that are due.
 
-    `gauges` names the values in the pool's answer, in their order; None: of no interest. `fired` is called in
-    any thread, with the event and the time in microseconds before which it may not be reported.
+    `gauges` has the names of the values in the pool's answer, in order, with None for an unused value.
+    `on_fired` is called in any thread, with the event and its due time in microseconds; the event must not be
+    reported as of an earlier time.
     """
 
     def __init__(
         self,
         pool: WorkerPool,
         gauges: tuple[str | None, ...],
-        fired: Callable[[TimerFired, int], None],
+        on_fired: Callable[[TimerFired, int], None],
     ) -> None:
         self._pool = pool
         self._gauges = gauges
-        self._fired = fired
+        self._on_fired = on_fired
 
     def set(self, action: SetTimer) -> None:
         """Start a timer."""
@@ -39,12 +40,12 @@
         timer.start()
 
     def _fetch_gauges(self, action: SetTimer) -> None:
-        """In the timer's thread."""
+        """Poll the gauges, then report the timer; called in the timer's thread."""
 
-        def fetched(values: tuple[float, ...]) -> None:
+        def on_fetched(values: tuple[float, ...]) -> None:
             event = timer_fired(action.token, list(values), self._gauges)
-            # The timer may have ended early by a rounding, and the controller takes an early event for one
-            # of a timer that it has replaced.
-            self._fired(event, action.due_at)
+            # Rounding may let the timer end early, and the controller takes an event before its due time for
+            # that of a timer that it has replaced.
+            self._on_fired(event, action.due_at)
 
-        self._pool.poll(fetched)
+        self._pool.poll(on_fetched)
