--- a/cairnvane/server/main.py
+++ b/cairnvane/server/main.py
@@ -15,9 +15,9 @@
 from . import composition
 from .lifecycle import Shutdown
 from .reload import Reloader
-from .signals import LEAVE, RELOAD, block_signals, wait_for_shutdown
+from .signals import RELOAD_SIGNAL, SHUTDOWN_SIGNALS, block_signals, wait_for_shutdown
 
-__all__ = ["LEAVE", "RELOAD", "main"]
+__all__ = ["SHUTDOWN_SIGNALS", "RELOAD_SIGNAL", "main"]
 
 logger = logging.getLogger(__name__)
 
--- a/cairnvane/server/signals.py
+++ b/cairnvane/server/signals.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 # Each of these signals starts a graceful shutdown.
-LEAVE = {signal.SIGTERM, signal.SIGINT}
+SHUTDOWN_SIGNALS = {signal.SIGTERM, signal.SIGINT}
 # The signal that reloads the configuration.
-RELOAD = signal.SIGHUP
+RELOAD_SIGNAL = signal.SIGHUP
 
 
 def block_signals() -> None:
@@ -17,13 +17,13 @@
     The main thread receives them with `sigwait`. With a handler, a shutdown could be lost: Python runs
     handlers only in the main thread, and a signal delivered to another thread does not wake it.
     """
-    signal.pthread_sigmask(signal.SIG_BLOCK, LEAVE | {RELOAD})
+    signal.pthread_sigmask(signal.SIG_BLOCK, SHUTDOWN_SIGNALS | {RELOAD_SIGNAL})
     # The shell that starts the program sets the reload signal to be ignored, and the kernel may drop a signal
     # that is both blocked and ignored.
-    signal.signal(RELOAD, signal.SIG_DFL)
+    signal.signal(RELOAD_SIGNAL, signal.SIG_DFL)
 
 
 def wait_for_shutdown(reload: Callable[[], None]) -> None:
     """Call `reload` at each reload signal, and return at the first shutdown signal."""
-    while signal.sigwait(LEAVE | {RELOAD}) == RELOAD:
+    while signal.sigwait(SHUTDOWN_SIGNALS | {RELOAD_SIGNAL}) == RELOAD_SIGNAL:
         reload()
--- a/cairnvane/testbed/faults/instrumented_server.py
+++ b/cairnvane/testbed/faults/instrumented_server.py
@@ -36,7 +36,7 @@
 from ...server.cancellations import Cancellations
 from ...server.event_loop import EventLoop
 from ...server.in_flight import InFlightRequest
-from ...server.main import LEAVE, RELOAD, main
+from ...server.main import RELOAD_SIGNAL, SHUTDOWN_SIGNALS, main
 
 KILL_VARIABLE = "CAIRNVANE_LAB_KILL"
 MUTANT_VARIABLE = "CAIRNVANE_LAB_MUTANT"
@@ -210,7 +210,7 @@
     _apply_mutant(os.environ.get(MUTANT_VARIABLE, ""))
     # Blocked before any thread starts: a thread that left them unblocked would be ended by the signals that
     # the main thread waits for.
-    signal.pthread_sigmask(signal.SIG_BLOCK, {ORDER_SIGNAL, *LEAVE, RELOAD})
+    signal.pthread_sigmask(signal.SIG_BLOCK, {ORDER_SIGNAL, *SHUTDOWN_SIGNALS, RELOAD_SIGNAL})
     EventLoop.__init__ = _registering(EventLoop.__init__)  # type: ignore[method-assign]
     _start_order_thread()
     if shift_s := float(os.environ.get(CLOCK_VARIABLE) or 0):
