--- a/tests/server/test_cancelled_runs.py
+++ b/tests/server/test_cancelled_runs.py
@@ -1,15 +1,16 @@
-"""A cancelled run keeps its place until the worker pool itself says that it is not going on.
-
-The failure: machines got more runs than they survive (8 a core in the mean of 1.5 s), on servers whose link
-to the pool broke about once a second. Order of events: a machine's cores stood still; clients gave up, and
-their runs were cancelled, which has no effect while cores stand still; the link broke, and each cancellation
-was sent again on the new one. The pool answered the question behind it and reported no end, since there was
-none. The server took that for proof that the run had been lost with the link, freed its place, and started
-the next request: at each reset as many as may run at a time.
-
-Evidence: one real process on 4 cores, 8 s of standstill, a reset every 0.5 s, clients that wait 0.6 s: 48 and
-50 runs were taken for lost in two plays, and 12 to 14 runs a core were there in the mean. Either fault alone,
-or clients that wait 6 s: 2.1 at most. With both faults, but without that conclusion: 1.0 and 1.5.
+"""A cancelled run occupies its concurrency slot until the worker pool reports that it does not continue.
+
+Guards against overload of a machine whose cores stall while the link to its worker pool breaks about once a
+second. A cancellation has no effect while the cores are stalled. When the link broke, each cancellation was
+sent again on the new link; the pool answered the `sync` after it and reported no end, since the run went on.
+The server concluded that the run had been lost with the link, freed its slot and started the next request.
+Each reset of the link thus started as many runs as may run at a time, until there were more than a machine
+survives (a mean of 8 per core over 1.5 s).
+
+Measured with one real process on 4 cores, a stall of 8 s, a reset every 0.5 s and a client timeout of 0.6 s:
+in two trials 48 and 50 runs were considered lost, with a mean of 12 to 14 runs per core. With only one of the
+faults, or a client timeout of 6 s: 2.1 per core at most. With both faults, but without the wrong conclusion:
+1.0 and 1.5.
 """
 
 from __future__ import annotations
@@ -26,76 +27,79 @@
 KEYED: dict[str, Any] = {"path": "/svc/write", "HTTP_REQ_TOKEN": TOKEN}
 
 
-def test_a_run_whose_cancellation_had_no_effect_keeps_its_place() -> None:
-    with world(Cores=1) as w:
-        balancer, uid = w.running()
+def test_run_whose_cancellation_had_no_effect_keeps_its_slot() -> None:
+    with world(Cores=1) as harness:
+        balancer, uid = harness.running()
         balancer.abort(1)
-        assert w.pool.next("suspend")["uid"] == uid
+        assert harness.pool.next("suspend")["uid"] == uid
         balancer.answer()
-        w.pool.cut()
-        w.pool.next("bind")
-        assert w.pool.next("suspend")["uid"] == uid
+        harness.pool.cut()
+        harness.pool.next("bind")
+        assert harness.pool.next("suspend")["uid"] == uid
         balancer.send(2)
-        assert w.pool.next("spawn")["uid"] == uid  # of the run that goes on, where it has no effect
-        until(lambda: w.host._controller.queue)
-        assert w.pool.commands.empty()
-        w.pool.notice("finished", uid, "fine")
-        assert w.pool.next("spawn")["uid"] != uid
+        # The confirmation, which has no effect, since the run continues.
+        assert harness.pool.next("spawn")["uid"] == uid
+        until(lambda: harness.host._controller.queue)
+        assert harness.pool.commands.empty()
+        harness.pool.notice("finished", uid, "fine")
+        assert harness.pool.next("spawn")["uid"] != uid
 
 
-def test_a_keyed_run_is_only_asked_for_once_its_request_is_over_for_everybody(
+def test_keyed_run_is_confirmed_only_after_its_client_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a second effect: a `spawn` of a request whose answer is still on its way may run it."""
+    """Guards against a second run: the pool may run a `spawn` of a request whose client still waits."""
     timers: list[tuple[float, Any]] = []
 
     def timer(seconds: float, task: Any, arguments: tuple[Any, ...]) -> Any:
         timers.append((seconds, lambda: task(*arguments)))
         return SimpleNamespace(start=lambda: None)
 
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         arrived_at = clock.now()
         balancer.send(1, **KEYED)
-        uid = w.pool.next("spawn")["uid"]
-        w.pool.cut()
-        w.pool.next("bind")
-        until(lambda: w.host.executions.cancellations.link == 2)  # the new link is in use
+        uid = harness.pool.next("spawn")["uid"]
+        harness.pool.cut()
+        harness.pool.next("bind")
+        until(lambda: harness.host.executions.cancellations.link == 2)  # the server uses the new link
         monkeypatch.setattr(cancellations, "threading", SimpleNamespace(Timer=timer))
-        in_flight = w.host._requests.find_uid(uid)
+        in_flight = harness.host._requests.find_uid(uid)
         assert in_flight is not None
-        w.host.post(lambda: w.host.executions.cancel(in_flight))  # as at its deadline: its client still waits
-        assert w.pool.next("suspend")["uid"] == uid
+        # As at the request's deadline: its client still waits.
+        harness.host.post(lambda: harness.host.executions.cancel(in_flight))
+        assert harness.pool.next("suspend")["uid"] == uid
         until(lambda: timers)
-        seconds, ask = timers[0]
-        asked_at = clock.now() + seconds * 1e6
+        delay_s, send_confirmation = timers[0]
+        confirmed_at = clock.now() + delay_s * 1e6
         client_timeout = 9_000_000
-        assert asked_at >= arrived_at + client_timeout
-        assert w.pool.commands.empty()
-        ask()
-        assert w.pool.next("spawn")["uid"] == uid
-
-
-def test_a_second_run_that_a_repeated_command_may_have_begun_is_cancelled() -> None:
-    """The end of a run and the `spawn` that is sent again cross: the pool may run the request once more."""
-    with world() as w:
-        balancer, uid = w.running()
-        w.pool.silent_after = "spawn"  # its answer would show that it has read the repeated command
-        w.pool.cut()
-        w.pool.next("bind")
-        assert w.pool.next("spawn")["uid"] == uid
-        w.end(balancer, uid)
-        assert w.pool.next("suspend")["uid"] == uid
-
-
-def test_a_run_that_ends_after_the_repeated_command_was_read_is_not_cancelled() -> None:
-    with world() as w:
-        balancer, uid = w.running()
-        w.pool.cut()
-        w.pool.next("bind")
-        assert w.pool.next("spawn")["uid"] == uid
-        in_flight = w.host._requests.find_uid(uid)
+        assert confirmed_at >= arrived_at + client_timeout
+        assert harness.pool.commands.empty()
+        send_confirmation()
+        assert harness.pool.next("spawn")["uid"] == uid
+
+
+def test_possible_second_run_by_a_repeated_command_is_cancelled() -> None:
+    """A run ends before the pool reads its repeated `spawn`, which may therefore start it a second time."""
+    with world() as harness:
+        balancer, uid = harness.running()
+        # An answer to `sync` would show that the pool has read the repeated command.
+        harness.pool.silent_after = "spawn"
+        harness.pool.cut()
+        harness.pool.next("bind")
+        assert harness.pool.next("spawn")["uid"] == uid
+        harness.end(balancer, uid)
+        assert harness.pool.next("suspend")["uid"] == uid
+
+
+def test_run_that_ends_after_its_repeated_command_was_read_is_not_cancelled() -> None:
+    with world() as harness:
+        balancer, uid = harness.running()
+        harness.pool.cut()
+        harness.pool.next("bind")
+        assert harness.pool.next("spawn")["uid"] == uid
+        in_flight = harness.host._requests.find_uid(uid)
         assert in_flight is not None
         until(lambda: not in_flight.is_repeat_unread)
-        w.end(balancer, uid)
-        w.serve(balancer, 2)  # the next command is its `spawn`
+        harness.end(balancer, uid)
+        harness.serve(balancer, 2)  # the next command must be the `spawn` of request 2, not a `suspend`
--- a/tests/server/test_configuration.py
+++ b/tests/server/test_configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: faults are named by key and value, and end the start."""
+"""The platform's configuration: an invalid value stops the start, with an error that has key and value."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         ({"pool": 7}, ": 7"),
     ],
 )
-def test_faulty_key_is_named_in_one_line(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
+def test_error_names_the_invalid_key_in_one_line(tmp_path: Path, changes: dict[str, Any], key: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(FILE | changes))
     with pytest.raises(config.ConfigurationError) as error:
@@ -50,7 +50,7 @@
 
 
 def _paths(part: Any, *parents: Any) -> Iterator[tuple[Any, ...]]:
-    """The path of each key and of each item of a list, from the outermost on."""
+    """The path of each key and list item in `part`, outermost first."""
     for key in part if isinstance(part, dict) else range(len(part)) if isinstance(part, list) else ():
         yield (*parents, key)
         yield from _paths(part[key], *parents, key)
@@ -66,12 +66,14 @@
 
 
 @pytest.mark.parametrize("key_path", list(_paths(SETTINGS)), ids=lambda path: ".".join(map(str, path)))
-def test_faulty_setting_is_named_with_its_key_and_value(tmp_path: Path, key_path: tuple[Any, ...]) -> None:
-    """Guards against messages with internal names, with Python's own words, or with no name at all."""
+def test_error_names_the_key_and_value_of_an_invalid_setting(
+    tmp_path: Path, key_path: tuple[Any, ...]
+) -> None:
+    """Guards against errors that use internal names or Python's terms, or that do not name the key."""
     path = tmp_path / "config.json"
     rejected = 0
-    faulty_values: tuple[Any, ...] = (None, "no such", -1, [], {}, [7], True, 10**30)
-    for value in faulty_values:
+    invalid_values: tuple[Any, ...] = (None, "no such", -1, [], {}, [7], True, 10**30)
+    for value in invalid_values:
         settings = json.loads(json.dumps(SETTINGS))
         part = settings
         for key in key_path[:-1]:
@@ -91,20 +93,20 @@
 
 
 @pytest.mark.parametrize(
-    ("environment", "word"),
+    ("environment", "text"),
     [
         ({}, "LB_CONFIG: missing"),
         ({"LB_CONFIG": "/nowhere"}, "/nowhere"),
     ],
 )
-def test_start_without_a_configuration_fails_with_one_line(environment: dict[str, str], word: str) -> None:
-    clean = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
-    done = subprocess.run(
-        [sys.executable, "-m", "cairnvane"], env=clean | environment, capture_output=True, text=True
+def test_start_without_a_configuration_fails_with_one_line(environment: dict[str, str], text: str) -> None:
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("LB_")}
+    completed = subprocess.run(
+        [sys.executable, "-m", "cairnvane"], env=inherited | environment, capture_output=True, text=True
     )
-    assert done.returncode == 2
-    assert word in done.stderr
-    assert done.stderr.count("\n") == 1
+    assert completed.returncode == 2
+    assert text in completed.stderr
+    assert completed.stderr.count("\n") == 1
 
 
 def test_environment_overrides_the_file(tmp_path: Path) -> None:
@@ -115,7 +117,7 @@
     assert (configuration.stop_ms, configuration.sockets) == (config.DEFAULT_STOP_MS, config.DEFAULT_SOCKETS)
 
 
-def test_faulty_setting_fails_the_start_with_status_2(tmp_path: Path) -> None:
+def test_invalid_setting_fails_the_start_with_status_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     settings = PARAMS | {"Extra": PARAMS["Extra"] | {"Cores": 0}}
     path.write_text(
@@ -130,15 +132,15 @@
             }
         )
     )
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "cairnvane"],
         env={**os.environ, "LB_CONFIG": str(path)},
         capture_output=True,
         text=True,
     )
-    time, _, line = done.stderr.partition(" ")
+    time, _, line = completed.stderr.partition(" ")
     assert datetime.strptime(time, "%Y-%m-%dT%H:%M:%S.%f")
-    assert (done.returncode, line) == (
+    assert (completed.returncode, line) == (
         2,
         "ERROR cairnvane.server.main: settings: Extra.Cores: impossible value 0\n",
     )
--- a/tests/server/test_connection_closing.py
+++ b/tests/server/test_connection_closing.py
@@ -1,6 +1,6 @@
-"""Closing a connection, against what happens on it at the same instant: each order is forced.
+"""Closing a connection while another event occurs on it; each test forces one order of the two events.
 
-`docs/server.md` lists what can coincide, with the test or the reason for each.
+`docs/server.md` lists the events that can coincide, with the test or the reason for each.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from cairnvane.net.connection import ConnectionPhase
 from cairnvane.net.server import FastCgiServer
 
-# Bytes of a request: a part of its first record, and the first record with a part of the second.
-PART_OF_A_RECORD = 5
-PART_OF_A_REQUEST = 20
+# Numbers of bytes of a request: part of its first record, and the first record with part of the second.
+PARTIAL_RECORD_BYTES = 5
+PARTIAL_REQUEST_BYTES = 20
 
 
 def test_connection_stays_open_while_a_request_is_handed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a lost response: a request just read is for a moment neither partial nor open."""
+    """Guards against a lost response: between reading and handover, a request is neither partial nor open."""
     held = hold(monkeypatch, request_parameters, "parse_request")
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         balancer.send(1)
         assert held.reached.wait(WAIT_S)
-        begin_retiring(w)
-        assert not w.connection.close_if_idle()
-        assert not w.connection.evict()
+        begin_retiring(harness)
+        assert not harness.connection.close_if_idle()
+        assert not harness.connection.evict()
         held.go.set()
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
         assert balancer.ended()
 
@@ -43,56 +43,58 @@
     cause: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a truncated response: a request was closed before its response was written."""
+    """Guards against a truncated response: the connection was closed before the response was written."""
     held = hold(monkeypatch, request_parameters, "encode_response", is_served)
-    with world(most=1) as w:
-        balancer = w.balancer()
+    with world(most=1) as harness:
+        balancer = harness.balancer()
         balancer.send(1)
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert held.reached.wait(WAIT_S)
         if cause == "retire":
-            begin_retiring(w)
-            assert not w.connection.close_if_idle()
+            begin_retiring(harness)
+            assert not harness.connection.close_if_idle()
         else:
-            assert w.balancer().ended()  # rejected: the only slot is taken
+            assert harness.balancer().ended()  # rejected: the only slot is taken
         held.go.set()
         assert balancer.answer()[1].body == b"done"
 
 
 def test_connection_with_unread_bytes_is_not_idle(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a lost request: a busy core keeps the reader from bytes that came before the close."""
+    """Guards against a lost request: on a busy core, bytes received before the close may not be read yet."""
     sleep = Held(lambda seconds: None)
     monkeypatch.setattr(connection, "time", SimpleNamespace(monotonic=time.monotonic, sleep=sleep))
-    with world() as w:
-        balancer = w.balancer()
-        balancer.send(1, HTTP_REQ_KB="0")  # invalid: the connection is read on only after a pause
+    with world() as harness:
+        balancer = harness.balancer()
+        balancer.send(1, HTTP_REQ_KB="0")  # invalid, so the server pauses before it reads on
         assert balancer.answer()[1].status == 500
         assert sleep.reached.wait(WAIT_S)
         balancer.send(2)
-        assert w.connection.sock.recv(1, socket.MSG_PEEK)
-        assert not w.connection.close_if_idle(asked=True)
-        begin_retiring(w)
-        assert not w.connection.close_if_idle()
+        assert harness.connection.sock.recv(1, socket.MSG_PEEK)
+        assert not harness.connection.close_if_idle(asked=True)
+        begin_retiring(harness)
+        assert not harness.connection.close_if_idle()
         sleep.go.set()
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
         assert balancer.ended()
 
 
 @pytest.mark.parametrize(
-    "received", [PART_OF_A_RECORD, PART_OF_A_REQUEST], ids=["part of a record", "part of a request"]
+    "received", [PARTIAL_RECORD_BYTES, PARTIAL_REQUEST_BYTES], ids=["part of a record", "part of a request"]
 )
 def test_partly_received_request_is_completed_and_answered_before_the_close(received: int) -> None:
-    """Guards against a dropped request: a part of a record counted as nothing."""
-    with world() as w:
-        balancer = w.balancer()
+    """Guards against a dropped request: a connection with a partial record was considered idle."""
+    with world() as harness:
+        balancer = harness.balancer()
         data = balancer.request(1)
         balancer.sock.sendall(data[:received])
-        until(lambda: w.connection.partial_record_since is not None and not w.connection.is_parsing)
-        begin_retiring(w)
-        assert not w.connection.close_if_idle()
+        until(
+            lambda: harness.connection.partial_record_since is not None and not harness.connection.is_parsing
+        )
+        begin_retiring(harness)
+        assert not harness.connection.close_if_idle()
         balancer.sock.sendall(data[received:])
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
         assert balancer.ended()
 
@@ -100,59 +102,59 @@
 def test_bytes_being_read_postpone_the_close_of_a_silent_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a false timeout: a busy core kept the reader from a request that had come in time."""
+    """Guards against a false timeout: on a busy core, a request received in time was not read yet."""
     monkeypatch.setattr(server, "DEADLINE_CHECK_INTERVAL_S", 10 * WAIT_S)
     held = hold(monkeypatch, fastcgi, "read_record")
-    with world() as w:
-        balancer, late = w.balancer(), w.connection
+    with world() as harness:
+        balancer, silent = harness.balancer(), harness.connection
         balancer.send(1)
         assert held.reached.wait(WAIT_S)
-        w.server.clock += connection.REQUEST_TIMEOUT_S
-        late.enforce_deadlines()
-        assert late.state is ConnectionPhase.SERVING
+        harness.server.clock += connection.REQUEST_TIMEOUT_S
+        silent.enforce_deadlines()
+        assert silent.state is ConnectionPhase.SERVING
         held.go.set()
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
 
 
 def test_request_read_after_the_close_is_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a run without a response: its bytes were being read when the connection was closed."""
+    """Guards against a run without a response: the connection was closed while the request was being read."""
     held = hold(monkeypatch, fastcgi, "read_record")
-    with world() as w:
-        balancer, other = w.balancer(), w.balancer()
+    with world() as harness:
+        balancer, other = harness.balancer(), harness.balancer()
         balancer.send(1)
         assert held.reached.wait(WAIT_S)
-        for each in w.server._all():
+        for each in harness.server._all():
             if each.is_parsing:
                 each.end()
         held.go.set()
         assert balancer.ended()
         other.send(2)
-        assert w.pool.next("spawn")["uid"] == f"{2:016x}"
+        assert harness.pool.next("spawn")["uid"] == f"{2:016x}"
 
 
 def test_deferred_close_happens_once_its_cause_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a connection that stays open: `retire` asks once, here while bytes are being read."""
     monkeypatch.setattr(server, "DEADLINE_CHECK_INTERVAL_S", 10 * WAIT_S)
     held = hold(monkeypatch, fastcgi, "read_record")
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         balancer.sock.sendall(fastcgi.record(50, 0, b""))
         assert held.reached.wait(WAIT_S)
-        begin_retiring(w)
-        assert not w.connection.close_if_idle()
+        begin_retiring(harness)
+        assert not harness.connection.close_if_idle()
         held.go.set()
         assert balancer.ended()
 
 
 def test_request_on_a_connection_in_the_backlog_is_answered() -> None:
     """Guards against a lost request: the kernel resets unaccepted connections when the listener closes."""
-    with world() as w:
-        late = FastCgiServer(("127.0.0.1", 0), w.host, 16)  # its thread that accepts is never started
-        balancer = Balancer(late.address)
+    with world() as harness:
+        not_accepting = FastCgiServer(("127.0.0.1", 0), harness.host, 16)  # its accept thread is not started
+        balancer = Balancer(not_accepting.address)
         balancer.send(1)
-        retiring = in_thread(lambda: late.retire(WAIT_S))
-        w.pool.run(b"done")
+        retiring = in_thread(lambda: not_accepting.retire(WAIT_S))
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
         assert balancer.ended()
         balancer.sock.close()
@@ -163,13 +165,13 @@
 def test_connection_accepted_during_retire_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a late shutdown: it was registered after `retire` had looked over the connections."""
+    """Guards against a delayed shutdown: it was registered after `retire` had checked all connections."""
     monkeypatch.setattr(server, "DEADLINE_CHECK_INTERVAL_S", 10 * WAIT_S)
     held = hold(monkeypatch, server, "Connection")
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         assert held.reached.wait(WAIT_S)
-        w.server.retire(0)
+        harness.server.retire(0)
         held.go.set()
         assert balancer.ended()
 
@@ -193,21 +195,21 @@
     ],
 )
 def test_protocol_violation_closes_the_connection_but_loses_no_response(data: bytes) -> None:
-    """An unreadable record, a request number that is in use, a flood of records of no request.
+    """Violations: an unreadable record, a request number in use, a flood of records without a request.
 
-    Guards against cancelled responses on such a connection, and against floods that use up the core.
+    Guards against dropped responses on such a connection, and against floods that exhaust the CPU.
     """
-    with world() as w:
-        bad, uid = w.running()
-        bad.sock.sendall(data)
-        until(lambda: w.connection.state is ConnectionPhase.ANSWERING)
-        bad.send(3)  # not read any more
-        w.serve(w.balancer(), 4)
-        w.pool.notice("finished", uid, "fine", b"done")
-        while (last := bad.answer())[0] != 1:  # among other responses
+    with world() as harness:
+        violating, uid = harness.running()
+        violating.sock.sendall(data)
+        until(lambda: harness.connection.state is ConnectionPhase.ANSWERING)
+        violating.send(3)  # no longer read
+        harness.serve(harness.balancer(), 4)
+        harness.pool.notice("finished", uid, "fine", b"done")
+        while (last := violating.answer())[0] != 1:  # skip responses to other requests
             pass
         assert last[1].body == b"done"
-        assert bad.ended()
+        assert violating.ended()
 
 
 def test_incomplete_record_closes_the_connection_but_loses_no_response(
@@ -215,33 +217,33 @@
 ) -> None:
     monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(server, "DEADLINE_CHECK_INTERVAL_S", 0.05)
-    with world() as w:
-        balancer, uid = w.running()
+    with world() as harness:
+        balancer, uid = harness.running()
         balancer.sock.sendall(balancer.request(2)[:4])
-        until(lambda: w.connection.state is ConnectionPhase.ANSWERING)
-        w.end(balancer, uid)
+        until(lambda: harness.connection.state is ConnectionPhase.ANSWERING)
+        harness.end(balancer, uid)
         assert balancer.ended()
 
 
 def test_half_closed_connection_is_answered_and_its_run_cancelled() -> None:
-    """Guards against a lost response: a peer that had only closed its own side got none."""
-    with world() as w:
-        balancer, uid = w.running()
+    """Guards against a lost response: a peer that had closed only its sending side got none."""
+    with world() as harness:
+        balancer, uid = harness.running()
         balancer.sock.shutdown(socket.SHUT_WR)
         number, answer = balancer.answer()
         assert (number, answer.status) == (1, 500)
-        assert w.pool.next("suspend")["uid"] == uid
+        assert harness.pool.next("suspend")["uid"] == uid
         assert balancer.ended()
 
 
 def test_response_being_written_at_a_half_close_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
     held = hold(monkeypatch, request_parameters, "encode_response", is_served)
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         balancer.send(1)
-        w.pool.run(b"done")
+        harness.pool.run(b"done")
         assert held.reached.wait(WAIT_S)
-        closing = w.connection
+        closing = harness.connection
         balancer.sock.shutdown(socket.SHUT_WR)
         until(lambda: closing.state is not ConnectionPhase.SERVING)
         held.go.set()
@@ -249,38 +251,38 @@
         assert balancer.ended()
 
 
-def test_partly_received_request_on_a_served_connection_keeps_its_place(
+def test_served_connection_with_a_partial_request_is_not_evicted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a lost request: the connection idle for longest was closed with a part of one."""
-    with world(most=2) as w:
-        balancer, dripping = w.balancer(), w.balancer()
-        w.serve(balancer, 1)
+    """Guards against a lost request: the longest idle connection was closed while it had a partial one."""
+    with world(most=2) as harness:
+        balancer, unserved = harness.balancer(), harness.balancer()
+        harness.serve(balancer, 1)
         data = balancer.request(2)
-        balancer.sock.sendall(data[:PART_OF_A_REQUEST])
-        dripping.sock.sendall(data[:PART_OF_A_REQUEST])
-        until(lambda: all(each.partial_record_since is not None for each in w.server._all()))
-        third = w.balancer()
-        assert dripping.ended()
-        w.serve(third, 3)
-        third.sock.sendall(third.request(4)[:PART_OF_A_REQUEST])
-        until(lambda: all(each.partial_record_since is not None for each in w.server._all()))
-        assert w.balancer().ended()
-        balancer.sock.sendall(data[PART_OF_A_REQUEST:])
-        w.pool.run(b"done")
+        balancer.sock.sendall(data[:PARTIAL_REQUEST_BYTES])
+        unserved.sock.sendall(data[:PARTIAL_REQUEST_BYTES])
+        until(lambda: all(each.partial_record_since is not None for each in harness.server._all()))
+        third = harness.balancer()
+        assert unserved.ended()
+        harness.serve(third, 3)
+        third.sock.sendall(third.request(4)[:PARTIAL_REQUEST_BYTES])
+        until(lambda: all(each.partial_record_since is not None for each in harness.server._all()))
+        assert harness.balancer().ended()
+        balancer.sock.sendall(data[PARTIAL_REQUEST_BYTES:])
+        harness.pool.run(b"done")
         assert balancer.answer()[1].body == b"done"
 
 
 def test_abort_that_coincides_with_the_response_gives_one_end_record(monkeypatch: pytest.MonkeyPatch) -> None:
     held = hold(monkeypatch, request_parameters, "encode_response", is_served)
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         balancer.send(1)
-        w.pool.run(b"done")
-        assert held.reached.wait(WAIT_S)  # its response is given, but not written
+        harness.pool.run(b"done")
+        assert held.reached.wait(WAIT_S)  # the response is set, but not written
         balancer.abort(1)
-        balancer.sock.sendall(fastcgi.record(50, 0, b""))  # answered once the abort was read
+        balancer.sock.sendall(fastcgi.record(50, 0, b""))  # answered after the abort was read
         assert balancer.read(16) == fastcgi.record(fastcgi.UNKNOWN_TYPE, 0, bytes([50]) + bytes(7))
         held.go.set()
         assert balancer.answer()[1].body == b"done"
-        w.serve(balancer, 1, HTTP_REQ_ID="f" * 16)  # the next end record is the next request's
+        harness.serve(balancer, 1, HTTP_REQ_ID="f" * 16)  # the next end record belongs to the next request
--- a/tests/server/test_floods.py
+++ b/tests/server/test_floods.py
@@ -1,4 +1,4 @@
-"""Floods by faulty or hostile clients cost no other client its response, and stay within the limits."""
+"""Floods by faulty or hostile clients: other clients still get their responses, and limits are kept."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def test_records_of_ended_requests_are_tolerated_up_to_the_limit() -> None:
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         for number in range(1, 4):
             balancer.sock.sendall(ABORT * (connection.MAX_STRAY_RECORDS - 1))
-            w.serve(balancer, number)
+            harness.serve(balancer, number)
 
 
 def _reader(sock: socket.socket) -> None:
@@ -29,12 +29,12 @@
             pass
 
 
-# The data of each flood, and whether its client reads; each reconnects when its connection is closed.
+# The data of each flood, and whether its client reads. A client reconnects when its connection is closed.
 FLOODS = {
-    "records of nothing": (fastcgi.record(fastcgi.STDIN, 7, b"") * 1_000, True),
+    "records without a request": (fastcgi.record(fastcgi.STDIN, 7, b"") * 1_000, True),
     "management records that are not read": (fastcgi.record(50, 0, b"") * 1_000, False),
-    "beginnings and aborts": ((BEGIN + ABORT) * 500, True),
-    "requests beyond the most": (
+    "begun and aborted requests": ((BEGIN + ABORT) * 500, True),
+    "more requests than allowed": (
         b"".join(BEGIN[:2] + number.to_bytes(2, "big") + BEGIN[4:] for number in range(1, 600)),
         True,
     ),
@@ -44,25 +44,25 @@
 }
 
 
-def test_floods_cost_no_response_no_drain_and_no_memory(tmp_path: Path) -> None:
-    """Each flood goes on from three connections while a balancer is served and the program shuts down."""
-    over = threading.Event()
+def test_server_under_floods_answers_drains_and_keeps_its_memory_limit(tmp_path: Path) -> None:
+    """Each flood runs on three connections while a balancer is served and the program shuts down."""
+    stopped = threading.Event()
 
-    def flood(address: tuple[str, int], data: bytes, read: bool) -> None:
-        while not over.is_set():
+    def flood(address: tuple[str, int], data: bytes, reads: bool) -> None:
+        while not stopped.is_set():
             with contextlib.suppress(OSError), socket.create_connection(address, 1) as sock:
-                if read:
+                if reads:
                     in_thread(lambda: _reader(sock))
-                while not over.wait(0.001):  # so that this process has time for its own balancer
+                while not stopped.wait(0.001):  # leaves this process time for its own balancer
                     sock.sendall(data)
 
     pool = PoolPeer()
     with program(tmp_path, f"127.0.0.1:{pool.address[1]}", NOWHERE, stop_ms=5_000) as (process, port):
         assert process.stderr is not None
-        in_thread(process.stderr.read)  # a full pipe of log lines would keep the server from its exit
+        in_thread(process.stderr.read)  # a full log pipe would block the server's exit
         floods = [
-            threading.Thread(target=flood, args=(("127.0.0.1", port), *how), daemon=True)
-            for how in FLOODS.values()
+            threading.Thread(target=flood, args=(("127.0.0.1", port), *data_and_reads), daemon=True)
+            for data_and_reads in FLOODS.values()
             for _ in range(3)
         ]
         balancer = Balancer(("127.0.0.1", port))
@@ -82,22 +82,22 @@
         pool.notice("finished", uid, "fine", b"last")
         assert balancer.answer()[1].body == b"last"
         assert process.wait(WAIT_S) == 0
-        over.set()
+        stopped.set()
         for each in floods:
             each.join(WAIT_S)
 
 
 def test_concurrent_deep_health_checks_share_one_check_of_the_pool() -> None:
-    """Guards against a flood: each check cost the pool its work, and this process a timer's thread."""
-    with world() as w:
-        balancer = w.balancer()
+    """Guards against a flood: each check cost the pool CPU time, and this process a timer thread."""
+    with world() as harness:
+        balancer = harness.balancer()
         for number in range(1, 20):
             balancer.send(number, "/status/live", b"", QUERY_STRING="real=1")
-        echo = w.pool.next("verify")["echo"]
-        until(lambda: len(w.host._health._waiting) == 19)
-        w.pool.tell(action="verified", echo=echo, code="fine")
+        echo = harness.pool.next("verify")["echo"]
+        until(lambda: len(harness.host._health._waiting) == 19)
+        harness.pool.tell(action="verified", echo=echo, code="fine")
         assert [balancer.answer()[1].status for _ in range(19)] == [200] * 19
-        w.serve(balancer, 21)  # its `spawn` is what the pool hears next
+        harness.serve(balancer, 21)  # its `spawn` must be the pool's next command
         balancer.send(20, "/status/live", b"", QUERY_STRING="real=1")
-        w.pool.tell(action="verified", echo=w.pool.next("verify")["echo"], code="fault")
+        harness.pool.tell(action="verified", echo=harness.pool.next("verify")["echo"], code="fault")
         assert balancer.answer()[1].status == 503
--- a/tests/server/test_lifecycle.py
+++ b/tests/server/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Components start after those that they depend on and stop before them."""
+"""Components start after those that they depend on, and stop before them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         ([Component("pool"), Component("pool")], "^pool: added twice$"),
     ],
 )
-def test_component_that_cannot_be_added_is_named(components: list[Component], message: str) -> None:
+def test_error_names_the_component_that_cannot_be_added(components: list[Component], message: str) -> None:
     lifecycle = Lifecycle()
     with pytest.raises(ComponentError, match=message):
         for component in components:
--- a/tests/server/test_process_signals.py
+++ b/tests/server/test_process_signals.py
@@ -17,10 +17,10 @@
 
 
 def test_reload_moves_to_new_addresses_under_load(tmp_path: Path) -> None:
-    """SIGHUP reloads; a faulty file is named and changes nothing."""
+    """SIGHUP reloads the configuration; an invalid file is reported and has no effect."""
     pools = PoolPeer(), PoolPeer()
-    report = threading.Event()
-    rosters = Listener(lambda sock: None), Listener(lambda sock: report.set())  # they send no response
+    reported = threading.Event()
+    rosters = Listener(lambda sock: None), Listener(lambda sock: reported.set())  # these send no response
     addresses = [
         [f"{host}:{port}" for host, port in (pool.address, roster.address)]
         for pool, roster in zip(pools, rosters, strict=True)
@@ -35,22 +35,22 @@
         balancer.send(2)
         uid = pools[0].next("spawn")["uid"]
         assert process.stderr is not None
-        good = json.loads(path.read_text())
-        path.write_text(json.dumps(good | {"vault": "nowhere"}))
+        valid = json.loads(path.read_text())
+        path.write_text(json.dumps(valid | {"vault": "nowhere"}))
         process.send_signal(signal.SIGHUP)
         wait_for_log(process, "the previous one stays in use: vault:")
-        path.write_text(json.dumps(good | dict(zip(("pool", "roster"), addresses[1], strict=True))))
+        path.write_text(json.dumps(valid | dict(zip(("pool", "roster"), addresses[1], strict=True))))
         process.send_signal(signal.SIGHUP)
-        assert pools[1].next("bind")["pos"] == 1  # notices are numbered on, and runs go on
+        assert pools[1].next("bind")["pos"] == 1  # notices continue to be numbered, and runs continue
         assert pools[1].next("spawn")["uid"] == uid
         pools[1].skip(1)
         pools[1].notice("finished", uid, "fine", b"second")
         assert balancer.answer()[1].body == b"second"
-        assert report.wait(WAIT_S)
+        assert reported.wait(WAIT_S)
 
 
 @pytest.mark.parametrize("bound", [False, True], ids=["before the pool is bound", "with a run in flight"])
-def test_repeated_or_early_shutdown_signals_change_nothing(tmp_path: Path, bound: bool) -> None:
+def test_repeated_or_early_shutdown_signals_have_no_effect(tmp_path: Path, bound: bool) -> None:
     pool = PoolPeer(bound)
     with program(tmp_path, f"127.0.0.1:{pool.address[1]}", NOWHERE) as (process, port):
         pool.next("bind")
@@ -67,33 +67,33 @@
         assert process.wait(WAIT_S) == 0
 
 
-def test_reload_rejects_a_torn_file_and_takes_the_next_whole_one(tmp_path: Path) -> None:
+def test_reload_rejects_a_truncated_file_and_uses_the_next_complete_one(tmp_path: Path) -> None:
     pools = PoolPeer(), PoolPeer()
     path = tmp_path / "config-0.json"
     with program(tmp_path, f"127.0.0.1:{pools[0].address[1]}", NOWHERE) as (process, _):
         pools[0].next("bind")
-        whole = json.dumps(json.loads(path.read_text()) | {"pool": f"127.0.0.1:{pools[1].address[1]}"})
+        complete = json.dumps(json.loads(path.read_text()) | {"pool": f"127.0.0.1:{pools[1].address[1]}"})
         assert process.stderr is not None
-        for torn in (whole[:0], whole[: len(whole) // 2], whole[:-1]):
-            path.write_text(torn)
+        for truncated in (complete[:0], complete[: len(complete) // 2], complete[:-1]):
+            path.write_text(truncated)
             process.send_signal(signal.SIGHUP)
             wait_for_log(process, "the previous one stays in use: LB_CONFIG:")
-        path.write_text(whole)
+        path.write_text(complete)
         process.send_signal(signal.SIGHUP)
         pools[1].next("bind")
 
 
 def test_reload_signal_during_the_start_does_not_end_the_program(tmp_path: Path) -> None:
-    """Guards against a crash: all servers get SIGHUP for a new configuration, also those that start."""
+    """Guards against a crash: all servers get SIGHUP for a new configuration, including starting ones."""
     pool = PoolPeer()
     started = tmp_path / "started"
     os.mkfifo(started)
-    slow = tmp_path / "slow"
-    slow.mkdir()
-    # The interpreter loads this before the program, and waits until the signal was sent.
-    (slow / "sitecustomize.py").write_text(f"open({str(started)!r}, 'w').write('here')\ninput()\n")
-    config = tmp_path / "config.json"
-    config.write_text(
+    startup_folder = tmp_path / "slow"
+    startup_folder.mkdir()
+    # The interpreter loads this module before the program; it waits until the signal has been sent.
+    (startup_folder / "sitecustomize.py").write_text(f"open({str(started)!r}, 'w').write('here')\ninput()\n")
+    config_path = tmp_path / "config.json"
+    config_path.write_text(
         json.dumps(
             {
                 "name": "n3",
@@ -105,17 +105,17 @@
             }
         )
     )
-    run = tomllib.loads((Path(__file__).parents[2] / "deploy/balancer.toml").read_text())["run"]
+    command = tomllib.loads((Path(__file__).parents[2] / "deploy/balancer.toml").read_text())["run"]
     process = subprocess.Popen(
-        ["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
+        ["/bin/sh", "-c", command.replace(".venv/bin/python", sys.executable)],
         text=True,
         stdin=subprocess.PIPE,
         stderr=subprocess.PIPE,
         env={
             **os.environ,
-            "LB_CONFIG": str(config),
+            "LB_CONFIG": str(config_path),
             "TMPDIR": str(tmp_path),
-            "PYTHONPATH": os.pathsep.join([str(slow), str(Path(__file__).parents[2])]),
+            "PYTHONPATH": os.pathsep.join([str(startup_folder), str(Path(__file__).parents[2])]),
         },
     )
     try:
@@ -125,7 +125,7 @@
         process.stdin.write("on\n")
         process.stdin.close()
         assert "n3 listens on" in process.stderr.readline()
-        process.send_signal(signal.SIGHUP)  # obeyed from here on
+        process.send_signal(signal.SIGHUP)  # handled from now on
         wait_for_log(process, "cairnvane.server.reload: configuration reloaded: pool")
         process.send_signal(signal.SIGTERM)
         assert process.wait(WAIT_S) == 0
--- a/tests/server/test_registry_reports.py
+++ b/tests/server/test_registry_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the service registry: they go on whatever it answers, and end with the shutdown."""
+"""Reports to the service registry: they continue after any response, and end with the shutdown."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_no_report_is_sent_after_the_shutdown_began(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a stale entry: a report that was about to be sent kept it for 3 s more."""
+    """Guards against a stale entry: a report that was about to be sent kept the entry for 3 s more."""
     received: list[bytes] = []
     ended = threading.Event()
 
@@ -46,11 +46,11 @@
         None,
     ],
 )
-def test_reports_go_on_after_any_response(
+def test_reports_continue_after_any_response(
     response: bytes | None,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against an expired entry: a registry that responds partly, wrongly or not at all."""
+    """Guards against an expired entry, with a registry that responds partially, wrongly or not at all."""
     monkeypatch.setattr(service_registry, "REPORT_INTERVAL_S", 0.01)
     monkeypatch.setattr(service_registry, "REPORT_TIMEOUT_S", 0.05)
     peer = RosterPeer(response)
@@ -62,18 +62,18 @@
     reports.stop()
 
 
-def test_unexpected_error_costs_one_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an expired entry: the thread ended with the error."""
+def test_unexpected_error_drops_only_one_report(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against an expired entry: the error ended the reporting thread."""
     monkeypatch.setattr(service_registry, "REPORT_INTERVAL_S", 0.01)
     failed = threading.Event()
 
-    def fails(*args: Any) -> http.Reply:
+    def fail_once(*args: Any) -> http.Reply:
         if not failed.is_set():
             failed.set()
-            raise ValueError("of a kind that no one thought of")
+            raise ValueError("unexpected error")
         return http.read_reply(*args)
 
-    monkeypatch.setattr(service_registry, "http", SimpleNamespace(request=http.request, read_reply=fails))
+    monkeypatch.setattr(service_registry, "http", SimpleNamespace(request=http.request, read_reply=fail_once))
     peer = RosterPeer(b"HTTP/1.1 204 No Content\r\n\r\n")
     reports = service_registry.ServiceRegistry(peer.address, "n1")
     reports.start()
@@ -91,30 +91,30 @@
     connected = Held(socket.create_connection)
     registry_socket = SimpleNamespace(create_connection=connected, SHUT_RDWR=socket.SHUT_RDWR)
     monkeypatch.setattr(service_registry, "socket", registry_socket)
-    came: queue.Queue[str] = queue.Queue()
-    old, new = Listener(lambda sock: came.put("old")), Listener(lambda sock: came.put("new"))
+    reported: queue.Queue[str] = queue.Queue()
+    old, new = Listener(lambda sock: reported.put("old")), Listener(lambda sock: reported.put("new"))
     reports = service_registry.ServiceRegistry(old.address, "n1")
     reports.start()
     assert connected.reached.wait(WAIT_S)
     reports.move(new.address)
     connected.go.set()
-    assert [came.get(timeout=WAIT_S) for _ in range(2)] == ["old", "new"]
+    assert [reported.get(timeout=WAIT_S) for _ in range(2)] == ["old", "new"]
     reports.stop()
 
 
 def test_shutdown_aborts_a_report_in_progress(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(service_registry, "REPORT_TIMEOUT_S", 10 * WAIT_S)
-    cut = threading.Event()
-    here = threading.Event()
+    closed = threading.Event()
+    received = threading.Event()
 
     def listen(sock: socket.socket) -> None:
         assert sock.recv(4_096)
-        here.set()
-        if not sock.recv(4_096):  # closed without waiting for the response
-            cut.set()
+        received.set()
+        if not sock.recv(4_096):  # the server closed without waiting for the response
+            closed.set()
 
     reports = service_registry.ServiceRegistry(Listener(listen).address, "n1")
     reports.start()
-    assert here.wait(WAIT_S)
+    assert received.wait(WAIT_S)
     reports.stop()
-    assert cut.wait(WAIT_S)
+    assert closed.wait(WAIT_S)
--- a/tests/server/test_run_races.py
+++ b/tests/server/test_run_races.py
@@ -1,4 +1,4 @@
-"""Cancellation of runs and calls, against their ends and replies at the same instant."""
+"""Cancellation of runs and calls that coincides with their ends and replies."""
 
 from __future__ import annotations
 
@@ -15,30 +15,31 @@
 
 
 @pytest.mark.parametrize("notice", ["fine", "fault", "broken_off", "late", "blocked", "unknown"])
-def test_notice_that_coincides_with_a_cancellation_changes_nothing(notice: str) -> None:
-    """The client has disconnected, and the pool had sent this notice, or no longer knew the run."""
-    with world() as w:
-        balancer, uid = w.running()
+def test_notice_that_coincides_with_a_cancellation_has_no_effect(notice: str) -> None:
+    """The client disconnects when the pool has already sent this notice, or no longer knows the run."""
+    with world() as harness:
+        balancer, uid = harness.running()
         balancer.abort(1)
         assert balancer.answer()[1].status == 0
-        assert w.pool.next("suspend")["uid"] == uid
+        assert harness.pool.next("suspend")["uid"] == uid
         if notice == "unknown":
-            w.pool.tell(action="unknown", code="suspend", uid=uid)
+            harness.pool.tell(action="unknown", code="suspend", uid=uid)
         elif notice == "blocked":
-            w.pool.notice("blocked", uid, content=b"call")
+            harness.pool.notice("blocked", uid, content=b"call")
         else:
-            w.pool.notice("finished", uid, notice, b"done" if notice == "fine" else b"")
-        w.serve(balancer, 1, HTTP_REQ_ID="f" * 16)  # the next command, and the next response of that number
-        assert w.vault.calls.empty()
+            harness.pool.notice("finished", uid, notice, b"done" if notice == "fine" else b"")
+        # This request gets the pool's next command and the next response with number 1.
+        harness.serve(balancer, 1, HTTP_REQ_ID="f" * 16)
+        assert harness.vault.calls.empty()
 
 
-def test_reply_for_a_run_unknown_to_the_pool_changes_nothing() -> None:
-    with world(reply(200, b"reply")) as w:
-        balancer = w.balancer()
-        uid = w.block(balancer)
-        w.pool.next("supply")
-        w.pool.tell(action="unknown", code="supply", uid=uid)
-        w.end(balancer, uid)
+def test_reply_for_a_run_unknown_to_the_pool_has_no_effect() -> None:
+    with world(reply(200, b"reply")) as harness:
+        balancer = harness.balancer()
+        uid = harness.block(balancer)
+        harness.pool.next("supply")
+        harness.pool.tell(action="unknown", code="supply", uid=uid)
+        harness.end(balancer, uid)
 
 
 def test_reply_to_an_abandoned_call_is_not_reported(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -57,20 +58,20 @@
 
 
 def test_reply_reported_after_a_disconnect_is_not_supplied() -> None:
-    with world(reply(200, b"late")) as w:
-        balancer, posted = w.balancer(), threading.Event()
-        held = Held(w.host.post)
+    with world(reply(200, b"late")) as harness:
+        balancer, posted = harness.balancer(), threading.Event()
+        held = Held(harness.host.post)
 
         def post(task: Callable[[], None]) -> None:
             held(task)
             posted.set()
 
-        w.host.executions._post = post
-        uid = w.block(balancer)
+        harness.host.executions._post = post
+        uid = harness.block(balancer)
         assert held.reached.wait(WAIT_S)
         balancer.abort(1)
-        assert w.pool.next("suspend")["uid"] == uid
+        assert harness.pool.next("suspend")["uid"] == uid
         held.go.set()
         assert posted.wait(WAIT_S)
         assert balancer.answer()[0] == 1
-        w.serve(balancer, 2)  # its `spawn` is what the pool hears next
+        harness.serve(balancer, 2)  # its `spawn` must be the pool's next command
--- a/tests/server/test_settings_variants.py
+++ b/tests/server/test_settings_variants.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("classes", "more"),
+    ("classes", "other_settings"),
     [
         ([class_settings("only")], {}),
         ([class_settings(f"kind-{number}", Worth=float(number)) for number in range(40)], {}),
@@ -33,17 +33,17 @@
 )
 def test_all_classes_of_any_valid_settings_are_served(
     classes: list[dict[str, Any]],
-    more: dict[str, Any],
+    other_settings: dict[str, Any],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing may depend on anything but the settings, which differ between customers."""
-    for key, value in ({"Classes": classes} | more).items():
+    """The server's behaviour may depend only on the settings, which differ between customers."""
+    for key, value in ({"Classes": classes} | other_settings).items():
         monkeypatch.setitem(PARAMS, key, value)
-    with world() as w:
-        balancer = w.balancer()
+    with world() as harness:
+        balancer = harness.balancer()
         for number, cls in enumerate(classes, 1):
             token = {"HTTP_REQ_TOKEN": TOKEN} if cls["Repeat"] == "guarded" else {}
-            w.serve(balancer, number, path=f"/svc/{cls['Name']}", **token)
+            harness.serve(balancer, number, path=f"/svc/{cls['Name']}", **token)
         balancer.send(99, path="/svc/nobody's")
-        assert balancer.answer()[1].status == 500  # and nothing else fails
-        assert w.connection.state is ConnectionPhase.SERVING
+        assert balancer.answer()[1].status == 500  # fails only this request, not the connection
+        assert harness.connection.state is ConnectionPhase.SERVING
--- a/tests/server/test_wire_codecs.py
+++ b/tests/server/test_wire_codecs.py
@@ -1,4 +1,4 @@
-"""The codecs of FastCGI and HTTP: round trips, incomplete messages and malformed ones."""
+"""The FastCGI and HTTP codecs: round trips, incomplete messages and malformed messages."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 @given(st.binary(max_size=300), st.integers(0, 400))
 def test_record_is_read_only_when_it_is_complete(content: bytes, cut: int) -> None:
     data = fastcgi.record(fastcgi.STDIN, 7, content)
-    found = fastcgi.read_record(memoryview(data[:cut]), 0, min(cut, len(data)))
-    whole = (fastcgi.Record(fastcgi.STDIN, 7, content), len(data))
-    assert found == (whole if cut >= len(data) else None)
+    result = fastcgi.read_record(memoryview(data[:cut]), 0, min(cut, len(data)))
+    complete = (fastcgi.Record(fastcgi.STDIN, 7, content), len(data))
+    assert result == (complete if cut >= len(data) else None)
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + bytes(70_000),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"x" * 9_000,
-        # Digits that `isdigit` accepts and `int` does not ended the call's thread silently.
+        # Digits that `isdigit` accepts but `int` does not, which used to end the call's thread silently.
         b"HTTP/1.1 \xb200 OK\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: \xb2\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -69,7 +69,7 @@
     ],
 )
 def test_bytes_around_an_http_reply_are_not_part_of_it(data: bytes) -> None:
-    """Guards against an interim head that is taken for the reply."""
+    """Guards against taking an interim response for the final reply."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
         theirs.sendall(data)
@@ -78,15 +78,15 @@
 
 
 def test_slow_http_reply_ends_at_the_deadline() -> None:
-    """Guards against a limit on each read alone, which a slow peer outlives."""
+    """Guards against a timeout that applies only to each read, which a slow peer never exceeds."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        theirs.sendall(b"HTTP/1.1 200 OK\r\n")  # there is something to read
+        theirs.sendall(b"HTTP/1.1 200 OK\r\n")  # so that a read would return at once
         with pytest.raises(TimeoutError):
             http.read_reply(ours, time.monotonic())
 
 
-def test_http_body_without_a_length_lasts_until_the_end() -> None:
+def test_http_body_without_a_length_ends_with_the_connection() -> None:
     ours, theirs = socket.socketpair()
     with ours:
         theirs.sendall(b"HTTP/1.1 200 OK\r\nX-A: b\r\n\r\nabc")
--- a/tests/server_process.py
+++ b/tests/server_process.py
@@ -1,4 +1,4 @@
-"""Runs the program in a process of its own, as it is deployed, for the tests that need one."""
+"""Runs the program in a process of its own, as it is deployed, for tests of the whole process."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 import pytest
 from peers import PARAMS
 
-# An address at which nothing listens.
+# An address where no process listens.
 NOWHERE = "127.0.0.1:1"
-# A valid configuration.
+# A valid configuration file of the platform.
 FILE = {
     "name": "n1",
     "listen": "127.0.0.1:0",
@@ -35,11 +35,11 @@
     pool: str,
     roster: str,
     operator: Path | None = None,
-    **more: Any,
+    **overrides: Any,
 ) -> Iterator[tuple[subprocess.Popen[str], int]]:
     """Run the program; yields its process and the port that it listens on.
 
-    `more` goes into its configuration, and its temporary folder is `tmp_path`.
+    `overrides` are keys of its configuration. Its temporary folder is `tmp_path`.
     """
     configuration = {
         "name": "n3",
@@ -51,7 +51,7 @@
         "stop_ms": 60_000,
         "settings": PARAMS,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1_024},
-    } | more
+    } | overrides
     path = tmp_path / f"config-{len(list(tmp_path.glob('config-*')))}.json"
     path.write_text(json.dumps(configuration))
     process = subprocess.Popen(
@@ -68,9 +68,9 @@
     try:
         assert process.stderr is not None
         line = process.stderr.readline()
-        found = re.search(r"n3 listens on 127\.0\.0\.1:([0-9]+)", line)
-        assert found is not None, line
-        yield process, int(found[1])
+        match = re.search(r"n3 listens on 127\.0\.0\.1:([0-9]+)", line)
+        assert match is not None, line
+        yield process, int(match[1])
     finally:
         process.kill()
         process.wait()
@@ -79,7 +79,7 @@
 
 
 def wait_for_log(process: subprocess.Popen[str], text: str) -> None:
-    """Read the program's log up to a line with this text; fails if the log ends before."""
+    """Read the program's log up to a line with this text; fails if the log ends before that line."""
     assert process.stderr is not None
     for line in process.stderr:
         if text in line:
