--- a/cairnvane/server/administration_setup.py
+++ b/cairnvane/server/administration_setup.py
@@ -20,7 +20,7 @@
 
 
 class Administration(NamedTuple):
-    """The sink that receives requests; the response counter and the component are None if it is disabled."""
+    """The sink that receives requests; the other fields are None if the endpoint is disabled."""
 
     request_sink: RequestSink
     response_counter: ResponseCounter | None
--- a/cairnvane/server/event_loop.py
+++ b/cairnvane/server/event_loop.py
@@ -55,7 +55,7 @@
         self._settings = settings
         self._gauges = gauges
         self._controller = Controller(settings, seed, clock.now())
-        self._inbox: SimpleQueue[Callable[[], None]] = SimpleQueue()
+        self._tasks: SimpleQueue[Callable[[], None]] = SimpleQueue()
         self._events: list[Event] = []  # not yet reported to the controller
         self._follow_up_events: list[Event] = []  # caused by actions; reported in the next round
         self._requests = InFlightTable()
@@ -143,47 +143,47 @@
 
     def post(self, task: Callable[[], None]) -> None:
         """Run a task in the event loop's thread."""
-        self._inbox.put(task)
+        self._tasks.put(task)
 
     def request_arrived(self, request: Request) -> None:
         """A whole request was read."""
-        self._inbox.put(lambda: self._arrivals.handle_arrival(request))
+        self._tasks.put(lambda: self._arrivals.handle_arrival(request))
 
     def client_disconnected(self, request: Request) -> None:
         """The client of a request has disconnected."""
-        self._inbox.put(lambda: self._runs.handle_disconnect(request))
+        self._tasks.put(lambda: self._runs.handle_disconnect(request))
 
     def health_check_arrived(self, check: HealthCheck) -> None:
         """A health check was read."""
-        self._inbox.put(lambda: self._health.check(check))
+        self._tasks.put(lambda: self._health.check(check))
 
     def finished(self, uid: str, code: str, duration_us: int, result: bytes, position: int) -> None:
         """A run has ended, according to the pool's notice at this position."""
-        self._inbox.put(lambda: self._runs.end(uid, code, duration_us, result, position))
+        self._tasks.put(lambda: self._runs.end(uid, code, duration_us, result, position))
 
     def unknown(self, uid: str) -> None:
         """The pool does not know this request. It will never run, and no notice of its end will come."""
-        self._inbox.put(lambda: self._runs.end_unknown(uid))
+        self._tasks.put(lambda: self._runs.end_unknown(uid))
 
     def blocked(self, uid: str, body: bytes, position: int) -> None:
         """A run waits for a call with this body, according to the pool's notice at this position."""
-        self._inbox.put(lambda: self._runs.request_call(uid, body, position))
+        self._tasks.put(lambda: self._runs.request_call(uid, body, position))
 
     def replaced(self) -> None:
         """The pool was replaced by a new one, which has none of the runs."""
-        self._inbox.put(self._runs.fail_lost_runs)
+        self._tasks.put(self._runs.fail_lost_runs)
 
     def linked(self, link: int) -> None:
         """The pool's link with this number is up, and the missed notices have been replayed."""
-        self._inbox.put(lambda: self._runs.resend_lost_commands(link))
+        self._tasks.put(lambda: self._runs.resend_lost_commands(link))
 
     def drain(self, time_left_us: int) -> None:
         """Start a drain: the server will be stopped after this time."""
-        self._inbox.put(lambda: self._start_drain(time_left_us))
+        self._tasks.put(lambda: self._start_drain(time_left_us))
 
     def stop(self) -> None:
         """End the event loop's thread."""
-        self._inbox.put(self._stop)
+        self._tasks.put(self._stop)
 
     # --- in the event loop's thread
 
@@ -195,10 +195,10 @@
         """
         self._handle()
         while not self._is_stopped:
-            self._inbox.get()()
+            self._tasks.get()()
             for _ in range(MAX_BATCHED_TASKS):
                 try:
-                    self._inbox.get_nowait()()
+                    self._tasks.get_nowait()()
                 except Empty:
                     break
             self._handle()
--- a/cairnvane/server/executions.py
+++ b/cairnvane/server/executions.py
@@ -32,7 +32,7 @@
     RUN_CANCELLED: Outcome.CANCELLED,
     RUN_NEVER_STARTED: Outcome.NEVER_STARTED,
 }
-# The outcomes of a run that its client gets a response for, and the status of that response.
+# The outcomes of a run for which its client gets a response, with the status of that response.
 RESPONSE_STATUSES = {Outcome.OK: ResponseStatus.SERVED, Outcome.ERROR: ResponseStatus.FAILED}
 
 # Receives a request whose call ended, the outcome, and the call's duration in microseconds.
@@ -58,7 +58,7 @@
     ) -> None:
         self.vault = vault  # the address for new calls; calls in progress keep the previous one
         self.calls_in_flight = 0  # calls to the vault that have not ended
-        self.commands_repeated = 0  # commands that a broken link may have lost, since the process started
+        self.commands_repeated = 0  # commands sent again since the process started
         self.cancellations = Cancellations(pool, post, run_lost)
         self._pool = pool
         self._post = post
--- a/cairnvane/server/load_snapshot.py
+++ b/cairnvane/server/load_snapshot.py
@@ -30,7 +30,7 @@
     unaccounted_runs: float = 0.0  # on the machine according to its gauge, but in no table
     draining: bool = False
     gauges: dict[str, float | None] = field(default_factory=dict)  # None if the value did not arrive in time
-    pool_link: int = 0  # the number of the link in use, counted from 1
+    pool_link: int = 0  # number of the pool link in use; the first one is 1
     commands_repeated: int = 0  # since the process started, as are all following fields
     cancellations: dict[str, int] = field(default_factory=dict)
     ended_without_run: dict[str, int] = field(default_factory=dict)  # by reason
