--- a/cairnvane/idempotency/__init__.py
+++ b/cairnvane/idempotency/__init__.py
@@ -1,7 +1,7 @@
-"""Idempotency keys: which request a key stands for, and what outlasts the process that ran it.
+"""Idempotency keys: which request a key belongs to, and the keys and results that outlive a process.
 
-`key_table` holds the keys of this process. `store` is the protocol of whoever keeps keys and results for
-other processes: the claim log (`cairnvane.claims`) or the durable log (`durable`). `durability` is the part
-of the server that waits for records of that store, and `fingerprint` tells whether two attempts belong to
-the same request.
+`key_table` holds the keys of this process. `store` is the protocol of the stores that keep keys and results
+for other processes: the claim log (`cairnvane.claims`) and the durable log (`durable`). `durability` is the
+part of the server that waits until that store has written a record. `fingerprint` computes the value that
+shows whether two attempts belong to the same request.
 """
--- a/cairnvane/idempotency/end_recorder.py
+++ b/cairnvane/idempotency/end_recorder.py
@@ -1,4 +1,4 @@
-"""Answers requests once their end is recorded, and fails those whose end is not recorded in time."""
+"""Answers requests once the end of their run is recorded, and fails those whose record is late."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 
 logger = logging.getLogger(__name__)
 
-# An answer is failed this long before its deadline, in addition to the delay of the watchdog.
+# A request whose record is late is failed this long before its deadline, or at the watchdog's next check
+# after that.
 ANSWER_MARGIN_US = 60_000
-# Later than any time of the monotonic clock.
-NEVER_US = 1 << 62
+# A deadline that is never reached: later than any time of the monotonic clock.
+NO_DEADLINE_US = 1 << 62
 
 
 class EndRecorder:
-    """Has the ends of runs recorded. Server thread only, unless a method says otherwise."""
+    """Has the ends of runs recorded by the store. Server thread only, unless a method says otherwise."""
 
     owner: RequestOwner  # set before the first request
 
@@ -32,19 +33,19 @@
         self._store = store
         self._watch = watch
         self.pending = PendingEnds()
-        # Recorded ends that the server thread has not processed yet: appended by the writer thread.
+        # Recorded ends that the server thread has not processed yet. The writer thread appends to it.
         self._recorded: deque[tuple[InFlightRequest, bool]] = deque()
         self._recent = RecentResults()
-        self._drain_deadline = NEVER_US
+        self._drain_deadline = NO_DEADLINE_US
 
     def drain(self, time_left: int) -> None:
-        """Every request is answered within `time_left` microseconds."""
+        """Begin the drain: every request must be answered within `time_left` microseconds."""
         self._drain_deadline = clock.now() + time_left
 
     def record_end(
         self, in_flight: InFlightRequest, open_key: OpenKey, has_result: bool, settles: tuple[int, ...]
     ) -> None:
-        """Record an end that settles these notices of the worker pool."""
+        """Have an end recorded; the record settles these notices of the worker pool."""
         if has_result and not self._store.synchronous:
             client_deadline = in_flight.request.arrived_at + in_flight.request_class.client_timeout
             deadline = min(client_deadline, self._drain_deadline)
@@ -56,14 +57,15 @@
             in_flight.fingerprint,
             in_flight.result if has_result else None,
             settles,
-            lambda: self.recorded(in_flight, has_result),
+            lambda: self.end_recorded(in_flight, has_result),
         )
 
-    def recorded(self, in_flight: InFlightRequest, has_result: bool) -> None:
-        """Answer; the server thread does the rest when it is next awake. In the writer thread.
+    def end_recorded(self, in_flight: InFlightRequest, has_result: bool) -> None:
+        """Answer the request. Called in the writer thread.
 
-        The server thread is woken if duplicates wait. A duplicate that starts to wait after this check does
-        so before the server thread processes recorded ends, at the end of the same pass.
+        The server thread does the rest on its next pass, and is woken only if duplicates wait. A duplicate
+        that starts to wait after this check is not missed: it does so in the server thread, which processes
+        the recorded ends at the end of the same pass.
         """
         if has_result:
             self.owner.respond(in_flight.request, ResponseStatus.SERVED, in_flight.result)
@@ -71,11 +73,11 @@
         if in_flight.waiting_duplicates:
             self.owner.post(lambda: None)
 
-    def settle(self, max_recent: int, max_recent_bytes: int) -> None:
+    def process_recorded(self, max_recent: int, max_recent_bytes: int) -> None:
         """Process the ends that were recorded since the last call, and keep the last results in memory."""
         while self._recorded:
             in_flight, has_result = self._recorded.popleft()
-            self.pending.settled(in_flight)
+            self.pending.remove(in_flight)
             if not has_result:
                 self.owner.release(in_flight)
                 continue
@@ -86,6 +88,6 @@
 
     def fail_overdue(self, now: int) -> None:
         """Fail the requests whose end was not recorded in time."""
-        for request in self.pending.take_overdue(now, self._drain_deadline):
+        for request in self.pending.pop_overdue(now, self._drain_deadline):
             logger.warning("request %s failed: its result was not recorded in time", request.uid)
             self.owner.respond(request, ResponseStatus.FAILED)
--- a/cairnvane/idempotency/overdue_watch.py
+++ b/cairnvane/idempotency/overdue_watch.py
@@ -1,11 +1,11 @@
-"""A watchdog that looks at overdue records while any record is awaited."""
+"""A watchdog timer that checks for overdue records as long as any record is awaited."""
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable
 
-# Between two checks; none is made while nothing is awaited.
+# The time between two checks; no check is made while no record is awaited.
 CHECK_INTERVAL_S = 0.05
 
 
@@ -19,7 +19,7 @@
         self._is_armed = False
 
     def arm(self) -> None:
-        """A record is awaited from now on. Server thread only."""
+        """Schedule the next check, because a record is awaited. Server thread only."""
         if self._is_armed:
             return
         self._is_armed = True
--- a/cairnvane/idempotency/pending_records.py
+++ b/cairnvane/idempotency/pending_records.py
@@ -1,6 +1,6 @@
-"""What the server waits for while the store writes: keys without an end, runs to start, results to answer.
+"""Requests that wait for the store: keys without a recorded end, runs to start, results to be answered.
 
-Used by the server thread and, where a method says so, by the store's writer thread. Times are microseconds
+Used in the server thread and, where a method says so, in the store's writer thread. Times are microseconds
 of the monotonic clock.
 """
 
@@ -14,17 +14,17 @@
 
 @dataclass(slots=True)
 class OpenKey:
-    """A key of which no end was handed to the store yet."""
+    """A key whose request has no end that was handed to the store."""
 
     key: bytes
     expires_at: int
     start_requested: bool = False  # its start record was handed to the store
-    earlier_call_notice: int = 0  # the notice whose call an earlier incarnation may have made; 0: none
+    earlier_call_notice: int = 0  # notice whose call an earlier incarnation may have made; 0: none
 
 
 @dataclass(slots=True)
 class _PendingRecord:
-    """A request that waits for a record, and how long it may wait."""
+    """A request that waits for a record, and until when it may wait."""
 
     in_flight: InFlightRequest
     deadline: int
@@ -42,39 +42,43 @@
         return bool(self._awaiting_record)
 
     def __contains__(self, in_flight: InFlightRequest) -> bool:
-        """Whether the worker pool has not been told to start this run."""
+        """Whether this run still waits for its start record or runs in another incarnation."""
         request_id = in_flight.request_id
         return request_id in self._awaiting_record or request_id in self._claimed_elsewhere
 
     def add(self, in_flight: InFlightRequest, deadline: int) -> None:
-        """Its start record was handed to the store."""
+        """Add a run whose start record was handed to the store."""
         self._awaiting_record[in_flight.request_id] = _PendingRecord(in_flight, deadline)
 
     def add_claimed_elsewhere(self, in_flight: InFlightRequest) -> None:
-        """Another incarnation runs it."""
+        """Add a run that another incarnation has claimed."""
         self._claimed_elsewhere[in_flight.request_id] = in_flight
 
     def is_claimed_elsewhere(self, in_flight: InFlightRequest) -> bool:
-        """Whether another incarnation runs it, and its end is still awaited."""
+        """Whether another incarnation has claimed the run, and its end is still awaited."""
         return in_flight.request_id in self._claimed_elsewhere
 
     def withdraw(self, in_flight: InFlightRequest) -> bool:
-        """True for exactly one caller, from any thread: whoever removes the entry decides what happens."""
+        """Remove a run; return whether it was there.
+
+        May be called from any thread. Of several concurrent callers exactly one gets True, and only that one
+        starts or rejects the run.
+        """
         awaited_record = self._awaiting_record.pop(in_flight.request_id, None) is not None
-        awaited_other = self._claimed_elsewhere.pop(in_flight.request_id, None) is not None
-        return awaited_record or awaited_other
+        was_claimed_elsewhere = self._claimed_elsewhere.pop(in_flight.request_id, None) is not None
+        return awaited_record or was_claimed_elsewhere
 
-    def record_settled(self, in_flight: InFlightRequest) -> None:
-        """Its start record is no longer awaited."""
+    def remove_awaiting_record(self, in_flight: InFlightRequest) -> None:
+        """Remove a run whose start record is no longer awaited."""
         self._awaiting_record.pop(in_flight.request_id, None)
 
-    def end_settled(self, in_flight: InFlightRequest) -> None:
-        """Its end in another incarnation is no longer awaited."""
+    def remove_claimed_elsewhere(self, in_flight: InFlightRequest) -> None:
+        """Remove a run whose end in another incarnation is no longer awaited."""
         self._claimed_elsewhere.pop(in_flight.request_id, None)
 
     def overdue(self, now: int) -> list[InFlightRequest]:
-        """Runs whose start record has not been written in time; they stay until they are withdrawn."""
-        # A copy: the writer thread removes entries meanwhile.
+        """Return the runs whose start record is overdue; they stay in the table until they are withdrawn."""
+        # Iterates over a copy, since the writer thread may remove entries at the same time.
         return [
             pending.in_flight for pending in list(self._awaiting_record.values()) if pending.deadline <= now
         ]
@@ -91,15 +95,15 @@
         return bool(self._by_request)
 
     def add(self, in_flight: InFlightRequest, deadline: int) -> None:
-        """Its end record is about to be handed to the store."""
+        """Add a request whose end record is about to be handed to the store."""
         self._by_request[in_flight.request_id] = _PendingRecord(in_flight, deadline)
 
-    def settled(self, in_flight: InFlightRequest) -> None:
-        """Its end record is written."""
+    def remove(self, in_flight: InFlightRequest) -> None:
+        """Remove a request whose end record is written."""
         self._by_request.pop(in_flight.request_id, None)
 
-    def take_overdue(self, now: int, drain_deadline: int) -> list[Request]:
-        """Remove and return the requests whose answer has waited long enough for the record."""
+    def pop_overdue(self, now: int, drain_deadline: int) -> list[Request]:
+        """Remove and return the requests whose end record is overdue."""
         overdue_ids = [
             request_id
             for request_id, pending in self._by_request.items()
--- a/cairnvane/idempotency/recent_results.py
+++ b/cairnvane/idempotency/recent_results.py
@@ -1,4 +1,4 @@
-"""The last recorded results, kept in memory for duplicates that come soon. No I/O, no clock."""
+"""A cache of the last recorded results, for duplicates that arrive soon. No I/O; reads no clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from ..server.in_flight import InFlightRequest
 
 
-def _memory_of(in_flight: InFlightRequest) -> int:
+def _memory_bytes(in_flight: InFlightRequest) -> int:
     return len(in_flight.request.body) + len(in_flight.result)
 
 
@@ -20,13 +20,13 @@
         self._bytes = 0
 
     def add(self, in_flight: InFlightRequest) -> None:
-        """Keep a request whose result is recorded."""
+        """Add a request whose result is recorded."""
         self._requests.append(in_flight)
-        self._bytes += _memory_of(in_flight)
+        self._bytes += _memory_bytes(in_flight)
 
     def evict(self, max_results: int, max_bytes: int) -> Iterator[InFlightRequest]:
-        """Remove the oldest requests until both bounds hold."""
+        """Remove and yield the oldest requests until both limits are kept."""
         while len(self._requests) > max_results or self._bytes > max_bytes:
             oldest = self._requests.popleft()
-            self._bytes -= _memory_of(oldest)
+            self._bytes -= _memory_bytes(oldest)
             yield oldest
--- a/cairnvane/idempotency/recovery_gate.py
+++ b/cairnvane/idempotency/recovery_gate.py
@@ -1,4 +1,7 @@
-"""Keyed requests that arrive before the store has recovered: queued, for a bounded time. Reads no clock."""
+"""A queue, bounded in time, of the keyed requests that arrive before the store's recovery is complete.
+
+Reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class RecoveryGate:
-    """Queues requests until recovery is complete: before that nobody knows what they duplicate."""
+    """Queues requests until recovery is complete; before that it is not known which are duplicates."""
 
     def __init__(self) -> None:
         self._queue: list[_QueuedRequest] = []
@@ -28,14 +31,14 @@
         self._queue.append(_QueuedRequest(deadline, request))
 
     def open(self) -> list[Request]:
-        """Recovery is complete: returns the queued requests in the order of their arrival."""
+        """Open the gate when recovery is complete; return the queued requests in order of arrival."""
         queued = self._queue
         self._queue = []
         self.is_open = True
         return [entry.request for entry in queued]
 
-    def take_overdue(self, now: int) -> list[Request]:
-        """Remove and return the requests that have waited long enough."""
+    def pop_overdue(self, now: int) -> list[Request]:
+        """Remove and return the requests whose deadline has passed."""
         overdue = [entry.request for entry in self._queue if entry.deadline <= now]
         self._queue = [entry for entry in self._queue if entry.deadline > now]
         return overdue
--- a/cairnvane/idempotency/run_recovery.py
+++ b/cairnvane/idempotency/run_recovery.py
@@ -1,6 +1,6 @@
-"""Takes over the runs that an earlier incarnation of the server has left, and links to the worker pool.
+"""Takes over the open runs of an earlier incarnation of the server, and links to the worker pool.
 
-Server thread only.
+All methods are called in the server thread only.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 logger = logging.getLogger(__name__)
 
-# A run of an earlier incarnation goes on until its client would have given up, and for this long at least:
-# its end may stand in a notice that is still to come.
+# An adopted run continues until its client would have given up, and at least for this long: the pool's notice
+# of its end may not have been read yet.
 MIN_ADOPTED_RUN_US = 1_000_000
 
 
 class NumberedClass(NamedTuple):
-    """A request class and its place in the settings."""
+    """A request class and its index in the settings."""
 
     number: int
     request_class: RequestClass
 
 
 class RunRecovery:
-    """Takes over what an earlier incarnation has left."""
+    """Restores the keys and adopts the runs of earlier incarnations."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         owner: RequestOwner,
         pool: WorkerPool,
     ) -> None:
-        """`add_key` gets the number of an adopted request and its key."""
+        """`add_key` is called with the id of each adopted request and its key."""
         self._store = store
         self._classes = classes
         self._gate = gate
@@ -55,9 +55,10 @@
         self._linked_without_recovery = False  # linked to the pool before the store could be read
 
     def store_delayed(self) -> None:
-        """Let requests without keys go on without the disk.
+        """Link to the pool before the store could be read, so that requests without keys can be served.
 
-        The pool's notices are not waited for, so nobody will learn the end of an earlier incarnation's runs.
+        The notices of the ends of earlier incarnations' runs are then not waited for, so those ends stay
+        unknown.
         """
         self._linked_without_recovery = True
         self._pool.resume(0, None, states.same_pool)
@@ -71,25 +72,25 @@
         for key_count, lifetime in recovered.key_lifetimes:
             self._owner.notify(KeysRestored(key_count, lifetime))
         for run in recovered.started_runs:
-            self._take_over(run, now)
+            self._adopt_or_fail(run, now)
         if not self._linked_without_recovery:
             self._pool.resume(recovered.last_notice, recovered.pool_started_at, states.same_pool)
             self._pool.start()
         for request in self._gate.open():
             self._owner.retry_arrival(request)
 
-    def _take_over(self, run: StartedRun, now: int) -> None:
-        numbered = self._classes.get(run.class_name)
-        if numbered is None:
+    def _adopt_or_fail(self, run: StartedRun, now: int) -> None:
+        numbered_class = self._classes.get(run.class_name)
+        if numbered_class is None:
             self._fail(run, "its request class is no longer configured")
             return
         decision = states.decide_duplicate(states.KeyState.INTENDED, not self._linked_without_recovery)
         if decision is states.RetryDecision.FAIL:
             self._fail(run, "the worker pool's notices were read before the store was recovered")
             return
-        # The reply to a call is lost with the earlier incarnation, unless it had been passed on.
+        # Unless the earlier incarnation had passed on the reply to the run's call, that reply is lost.
         time_left = 0 if run.call_notice else run.deadline - now
-        in_flight = self._owner.adopt_run(run, numbered.number, max(MIN_ADOPTED_RUN_US, time_left))
+        in_flight = self._owner.adopt_run(run, numbered_class.number, max(MIN_ADOPTED_RUN_US, time_left))
         self._add_key(in_flight.request_id, OpenKey(run.key, run.expires_at, True, run.call_notice))
 
     def _fail(self, run: StartedRun, cause: str) -> None:
--- a/cairnvane/idempotency/start_recorder.py
+++ b/cairnvane/idempotency/start_recorder.py
@@ -1,4 +1,4 @@
-"""Starts runs once their start is recorded, and rejects those whose start is not recorded in time."""
+"""Starts runs once their start is recorded, and rejects those whose record is late."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 logger = logging.getLogger(__name__)
 
-# A run whose start record is not written by then is not started. Ordinary writes take a hundredth of it.
+# A run whose start record takes longer than this is rejected. An ordinary write takes a hundredth of it.
 START_RECORD_TIMEOUT_US = 250_000
 
 
 def retry_after_ms(wait_us: int) -> int:
-    """Microseconds as milliseconds, rounded up."""
+    """Convert microseconds to milliseconds, rounded up."""
     return -(-wait_us // 1_000)
 
 
 class StartRecorder:
-    """Has the starts of runs recorded. Server thread only, unless a method says otherwise."""
+    """Has the starts of runs recorded by the store. Server thread only, unless a method says otherwise."""
 
     owner: RequestOwner  # set before the first request
 
     def __init__(self, store: IdempotencyStore, open_keys: dict[int, OpenKey], watch: OverdueWatch) -> None:
-        """`open_keys` is the table of keys without an end, by request."""
+        """`open_keys` maps request ids to the keys whose requests have no recorded end."""
         self._store = store
         self._open_keys = open_keys
         self._watch = watch
         self.pending = PendingStarts()
 
     def request_start(self, in_flight: InFlightRequest) -> None:
-        """Start the run once its start is recorded."""
+        """Have the start recorded; the run starts once the record is written."""
         request = in_flight.request
         open_key = self._open_keys[in_flight.request_id]
         open_key.start_requested = True
@@ -54,26 +54,26 @@
         self._store.record_start(
             run,
             lambda: self._start_recorded(in_flight),
-            lambda is_elsewhere: self._start_prevented(in_flight, is_elsewhere),
+            lambda is_claimed_elsewhere: self._start_prevented(in_flight, is_claimed_elsewhere),
         )
         if not self._store.synchronous:
             self._watch.arm()
 
     def _start_recorded(self, in_flight: InFlightRequest) -> None:
-        """In the writer thread, which competes with the server thread for the pending start."""
+        """Start the run, unless the server thread has rejected it meanwhile. Called in the writer thread."""
         if self.pending.withdraw(in_flight):
             self.owner.start_run(in_flight)
 
-    def _start_prevented(self, in_flight: InFlightRequest, is_elsewhere: bool) -> None:
-        """In the server thread: the run must not start here.
+    def _start_prevented(self, in_flight: InFlightRequest, is_claimed_elsewhere: bool) -> None:
+        """Handle a run that must not start here. Called in the server thread.
 
-        If another incarnation runs it, its end is that run's end. Until then it counts as a run of this
-        incarnation: its place is soon free again.
+        If another incarnation has claimed the key, the request ends when that run ends. Until then it counts
+        as a run of this incarnation and occupies its capacity, which is soon free again.
         """
         if not self.pending.withdraw(in_flight):
             return
         open_key = self._open_keys.pop(in_flight.request_id)
-        if not is_elsewhere:
+        if not is_claimed_elsewhere:
             self._reject(in_flight, "the start can't be recorded")
             return
         self.pending.add_claimed_elsewhere(in_flight)
@@ -88,13 +88,13 @@
             self.owner.run_ended_elsewhere(in_flight, result)
 
     def reject_overdue(self, now: int) -> None:
-        """Reject the runs whose start was not recorded in time."""
+        """Reject the runs whose start record is overdue."""
         for in_flight in self.pending.overdue(now):
-            if self.pending.withdraw(in_flight):  # else it was started meanwhile
+            if self.pending.withdraw(in_flight):  # else the writer thread has started it meanwhile
                 self._reject(in_flight, "the start was not recorded in time")
 
     def _reject(self, in_flight: InFlightRequest, cause: str) -> None:
-        """Nothing ran, and nothing will."""
+        """Reject a run that has not started and will not be started."""
         logger.warning("run %s rejected: %s", in_flight.request.uid, cause)
         wait_us = max(self._store.capacity_wait_us(), START_RECORD_TIMEOUT_US)
         self.owner.respond(in_flight.request, ResponseStatus.REJECTED, away_ms=retry_after_ms(wait_us))
