--- a/cairnvane/claims/claim_log.py
+++ b/cairnvane/claims/claim_log.py
@@ -46,9 +46,9 @@
     synchronous = True
 
     def __init__(
-        self, folder: Folder, incarnations: Incarnations, unread: int, max_bytes: int = MAX_BYTES
+        self, folder: Folder, incarnations: Incarnations, max_read_delay: int, max_bytes: int = MAX_BYTES
     ) -> None:
-        """`unread` is how much later than its arrival a request may be read, in microseconds."""
+        """`max_read_delay` is how much later than its arrival a request may be read, in microseconds."""
         self._folder = folder
         self._incarnations = incarnations
         self._incarnation = incarnations.number
@@ -58,7 +58,7 @@
         # other.
         self._lock = threading.RLock()
         self._changed = threading.Condition(self._lock)  # a request waits for a result, or the log is closed
-        self._table = ClaimTable(unread)
+        self._table = ClaimTable(max_read_delay)
         self._reader = SegmentReader(folder, self._table, self._incarnation, self._before_recreation)
         self._writer = SegmentWriter(folder, self._table, self._reader, incarnations)
         self._waiters = ResultWaiters(self._changed, self._table, self._reader, incarnations)
--- a/cairnvane/claims/claim_table.py
+++ b/cairnvane/claims/claim_table.py
@@ -49,15 +49,15 @@
 class ClaimTable:
     """The keys and their claims, built from records in their order.
 
-    `unread` is how much later than its arrival a request may be read, in microseconds.
+    `max_read_delay` is how much later than its arrival a request may be read, in microseconds.
     """
 
-    def __init__(self, unread: int) -> None:
+    def __init__(self, max_read_delay: int) -> None:
         self.entries: dict[bytes, Entry] = {}
         self.sealed_segments: set[int] = set()
         self.rejected_claims = 0  # made while another claim of the key counted
         self.illegal_steps = 0  # of a claim that does not count, or made twice
-        self._max_read_delay = unread
+        self._max_read_delay = max_read_delay
         self._last_expiry: dict[int, int] = {}  # by segment: when its last key expires
         self._expiry_queue: list[tuple[int, bytes]] = []  # a heap: when a key can be forgotten, and the key
 
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -98,7 +98,7 @@
 
     Without it, each incarnation knows its own keys alone.
     """
-    claims = ClaimLog(OsFolder(folder), incarnations, unread=_max_client_timeout(configuration))
+    claims = ClaimLog(OsFolder(folder), incarnations, max_read_delay=_max_client_timeout(configuration))
     try:
         claims.open()
     except NewerVersionError as error:
