--- a/cairnvane/claims/__init__.py
+++ b/cairnvane/claims/__init__.py
@@ -1,16 +1,17 @@
-"""The claim log: which of several concurrent incarnations of the server may run a request, and how it ended.
+"""The claim log: decides which of several concurrent incarnations of the server may run a request.
 
-All incarnations append claims to the same files and read them in the same order; the first claim of an
-idempotency key counts.
+All incarnations append claims to the same files and read them in the same order. The first claim of an
+idempotency key is valid. The log also records how the run of the request ended.
 
 - `states`: the states of a key and the steps between them.
 - `claim_table`: derives from the records, in their order, which incarnation holds the claim of a key.
-- `records`: the format of the records. None of these three does any I/O, starts a thread or reads a clock.
+- `records`: the format of the records. These three modules do no I/O, start no thread and read no clock.
 - `storage`: the files of the segments.
-- `incarnations`: the locks and heartbeats that tell a running process from a dead or stopped one.
-- `claim_log`: the `IdempotencyStore` that the server uses, made of `segment_reader`, `segment_writer`,
-  `result_waiters` and `housekeeping`.
-- `inspection`: what the command line shows of a claim log; `legacy`: detection of versions without one.
+- `incarnations`: the locks and heartbeats that show whether an incarnation is alive, stopped or dead.
+- `claim_log`: the `IdempotencyStore` that the server uses. It is composed of `segment_reader`,
+  `segment_writer`, `result_waiters` and `housekeeping`.
+- `inspection`: reads a claim log for the command line.
+- `legacy`: detects running versions of the program that have no claim log.
 - `errors`: `ClaimError`, the base of the package's errors.
 
 `docs/claims.md` has the design.
--- a/cairnvane/claims/claim_log.py
+++ b/cairnvane/claims/claim_log.py
@@ -1,10 +1,10 @@
-"""The idempotency store of concurrent incarnations, on a log of claims that all of them append to.
+"""An idempotency store for concurrent incarnations: a log of claims that all of them append to.
 
-Records are written where they come up, in the server's thread: a write into the page cache takes
-microseconds, and waking another thread for it would take a hundred times that. A claim counts only once it is
-read back in its place in the order. If the folder fails, an incarnation that is alone goes on in memory and
-writes later what was not written; one with concurrent incarnations accepts no new key, since the others could
-not know of it.
+Records are written directly in the calling thread, which is the server thread: a write into the page cache
+takes microseconds, and waking another thread for it would take a hundred times as long. A claim is valid only
+once it was read back at its position in the log. If the folder fails, an incarnation without concurrent ones
+keeps its records in memory and writes them later. An incarnation with concurrent ones accepts no new key,
+since the others could not see it.
 """
 
 from __future__ import annotations
@@ -26,14 +26,15 @@
 from .states import KeyState, Step
 from .storage import Folder
 
-# What all segments may take; beyond it no new key is accepted. At the site's rate they take a tenth of it.
+# The limit on the size of all segments; above it no new key is accepted. At the request rate of the site they
+# take a tenth of it.
 MAX_BYTES = 16 << 20
 # The shortest wait reported while no key can be accepted.
 MIN_CAPACITY_WAIT_US = 500_000
 
 
 class ClaimedKey(NamedTuple):
-    """A key that counts, with its claim."""
+    """A key with a valid claim."""
 
     key: bytes
     entry: Entry  # a copy
@@ -48,16 +49,16 @@
     def __init__(
         self, folder: Folder, incarnations: Incarnations, max_read_delay: int, max_bytes: int = MAX_BYTES
     ) -> None:
-        """`max_read_delay` is how much later than its arrival a request may be read, in microseconds."""
+        """`max_read_delay` is the longest time from a request's arrival until it is read, in microseconds."""
         self._folder = folder
         self._incarnations = incarnations
         self._incarnation = incarnations.number
         self._max_bytes = max_bytes
         self._closed = False  # ends the housekeeping thread
-        # Guards the table, the segments, and what is pending or waits. Taken again by methods that call each
-        # other.
+        # Guards the claim table, the segments, the pending records and the waiting requests. Reentrant, since
+        # methods that take it call each other.
         self._lock = threading.RLock()
-        self._changed = threading.Condition(self._lock)  # a request waits for a result, or the log is closed
+        self._changed = threading.Condition(self._lock)  # notified when a request waits or the log is closed
         self._table = ClaimTable(max_read_delay)
         self._reader = SegmentReader(folder, self._table, self._incarnation, self._before_recreation)
         self._writer = SegmentWriter(folder, self._table, self._reader, incarnations)
@@ -75,8 +76,8 @@
     def open(self) -> None:
         """Read the existing segments.
 
-        `OSError` if the folder is not available, `records.NewerVersionError` if incarnations of a later
-        version of the program write there.
+        Raises `OSError` if the folder is not available, and `records.NewerVersionError` if incarnations of a
+        later version of the program write to it.
         """
         with self._lock:
             self._folder.create()
@@ -88,11 +89,11 @@
         delayed: Callable[[], None],
         lost: Callable[[str], None],
     ) -> None:
-        """Answer waiting duplicates and delete old segments from now on; nothing is reported."""
+        """Start answering waiting duplicates and deleting old segments. None of the callbacks is called."""
         self._housekeeping.start()
 
     def close(self) -> None:
-        """Write what is pending, and end the housekeeping."""
+        """Write the pending records, and end the housekeeping thread."""
         with self._lock:
             self._closed = True
             self._changed.notify()
@@ -100,16 +101,16 @@
                 self._writer.flush(at_once=True)
 
     def sync(self) -> None:
-        """Wait until all that was recorded would survive a power cut; `OSError`."""
+        """Wait until all records would survive a power cut; raises `OSError`."""
         with self._lock:
             files = self._reader.files()
         for file in files:
             file.sync()
 
-    # --- for the takeover of the durable log
+    # --- for the transfer of claims to the durable log
 
     def entries(self) -> list[ClaimedKey]:
-        """All keys that count, in the order of their claims."""
+        """Return all keys with a valid claim, in the order of their claims."""
         with self._lock:
             self._reader.try_follow()
             return [
@@ -119,15 +120,15 @@
             ]
 
     def is_own(self, entry: Entry) -> bool:
-        """Whether this incarnation claimed it."""
+        """Whether this incarnation holds the claim."""
         return entry.incarnation == self._incarnation
 
     def is_alone(self) -> bool:
-        """Whether no other incarnation exists that may go on."""
+        """Whether all other incarnations are dead; a stopped one may continue."""
         return self._incarnations.is_alone()
 
     def is_holder_dead(self, entry: Entry) -> bool:
-        """Whether the incarnation that claimed it is dead."""
+        """Whether the incarnation that holds the claim is dead."""
         return self._incarnations.liveness(entry.incarnation) is Liveness.DEAD
 
     # --- the protocol `IdempotencyStore`
@@ -139,7 +140,7 @@
                 return MIN_CAPACITY_WAIT_US
             if self._reader.total_bytes() <= self._max_bytes:
                 return 0
-            oldest_segment = self._reader.numbers()[0]
+            oldest_segment = self._reader.segment_numbers()[0]
             return max(MIN_CAPACITY_WAIT_US, self._table.segment_expiry(oldest_segment) - clock.now())
 
     def reserve(self) -> None:
@@ -151,7 +152,7 @@
     def record_start(
         self, run: StartedRun, then: Callable[[], None], not_started: Callable[[bool], None], /
     ) -> None:
-        """See `IdempotencyStore`; this is the claim."""
+        """See `IdempotencyStore`; this claims the key."""
         with self._lock:
             claim = Record(
                 Step.INTENT, self._incarnation, run.key, clock.now(), run.expires_at, run.fingerprint
@@ -168,7 +169,7 @@
         self._record_end(Step.NEVER, key, expires_at, b"", None)
 
     def record_call(self, key: bytes, expires_at: int, notice: int, then: Callable[[], None]) -> None:
-        """See `IdempotencyStore`; no run outlasts its incarnation, so its call needs no record."""
+        """See `IdempotencyStore`; no run outlives its incarnation, so its call needs no record."""
         then()
 
     def record_end(
@@ -186,13 +187,13 @@
         then()
 
     def notice_read(self, notice: int, pending: bool) -> None:
-        """See `IdempotencyStore`; the worker pool's notices end with the incarnation."""
+        """See `IdempotencyStore`; the worker pool's notices do not outlive the incarnation."""
 
     def pool_linked(self, pool_started_at: int) -> None:
-        """See `IdempotencyStore`; no run outlasts its incarnation."""
+        """See `IdempotencyStore`; no run outlives its incarnation."""
 
     def pool_replaced(self) -> None:
-        """See `IdempotencyStore`; no run outlasts its incarnation."""
+        """See `IdempotencyStore`; no run outlives its incarnation."""
 
     def look_up(self, key: bytes, fingerprint: bytes, arrived_at: int) -> StoredEntry | None:
         """See `IdempotencyStore`."""
@@ -209,21 +210,22 @@
         """See `IdempotencyStore`."""
         self._waiters.answer_or_wait(ResultRequest(key, fingerprint, then))
 
-    # --- steps; with the lock held, but where said
+    # --- internal steps; called with the lock held, unless the method says otherwise
 
     def _record_claim(self, claim: Record) -> bool:
-        """Write a claim, or hold it in memory if this incarnation is alone; False if neither can be."""
+        """Write a claim, or keep it in memory if this incarnation is alone; False if neither is possible."""
         if self._writer.write(claim):
             return True
         if self._incarnations.is_alone():
             self._writer.keep_in_memory(claim)
             return True
-        # The failed write may have come through all the same; such a claim would keep others waiting.
+        # The failed write may still have reached the file. Other incarnations would wait for the end of such
+        # a claim, so it is given up as soon as the folder works again.
         self._writer.add_pending(claim._replace(kind=Step.NEVER, rest=b""))
         return False
 
     def _record_end(self, step: Step, key: bytes, expires_at: int, rest: bytes, result: bytes | None) -> None:
-        """Write the end of a claim, or hold it in memory until it can be written; takes the lock."""
+        """Write the end of a claim, or keep it in memory until it can be written. Takes the lock."""
         with self._lock:
             record = Record(step, self._incarnation, key, clock.now(), expires_at, rest)
             if not self._writer.write(record):
@@ -233,6 +235,6 @@
         return self._reader.result(key, entry) if entry.state is KeyState.FINISHED else None
 
     def _before_recreation(self) -> None:
-        """The folder was removed: have all that still counts written again, and be seen by the others."""
+        """Handle the removal of the folder: queue the own valid claims again, and write a new heartbeat."""
         self._writer.rewrite_own_claims()
         self._incarnations.heartbeat()
--- a/cairnvane/claims/errors.py
+++ b/cairnvane/claims/errors.py
@@ -1,19 +1,19 @@
-"""The errors of the claim log, below one base class."""
+"""The errors of the claim log, with a common base class."""
 
 from __future__ import annotations
 
 
 class ClaimError(Exception):
-    """Base of the errors that the claim log raises on its own account."""
+    """Base class of the errors that are specific to the claim log."""
 
 
 class RecordTooLongError(ClaimError, ValueError):
-    """A record's payload is longer than its length field can say."""
+    """A record's payload is too long for its length field."""
 
 
 class FolderRemovedError(ClaimError, OSError):
-    """Every segment of the folder vanished while it was being opened."""
+    """All segments of the folder were removed while they were being opened."""
 
 
 class SegmentSealedError(ClaimError, OSError):
-    """A record could not be placed before the seal of any segment that it was appended to."""
+    """A record landed behind the seal of each segment that it was appended to."""
--- a/cairnvane/claims/housekeeping.py
+++ b/cairnvane/claims/housekeeping.py
@@ -15,13 +15,13 @@
 
 logger = logging.getLogger(__name__)
 
-# While a duplicate waits for the end of a run in another incarnation, that is polled this often.
+# The interval at which the log is polled while a duplicate waits for a run in another incarnation.
 RESULT_POLL_S = 0.02
 _HEARTBEAT_INTERVAL_US = int(HEARTBEAT_INTERVAL_S * 1e6)
 
 
 class Housekeeping:
-    """Does what a claim log has to do at regular intervals, in a thread of its own."""
+    """Runs the regular tasks of a claim log in a background thread."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         writer: SegmentWriter,
         incarnations: Incarnations,
     ) -> None:
-        """`changed` has the claim log's lock, and wakes the thread early; `is_closed` ends it."""
+        """`changed` has the claim log's lock and wakes the thread early; the thread ends on `is_closed`."""
         self._changed = changed
         self._is_closed = is_closed
         self._waiters = waiters
@@ -47,7 +47,7 @@
         threading.Thread(target=self._run, name="claim-log-housekeeping", daemon=True).start()
 
     def run_tasks(self) -> None:
-        """Do what is due at each heartbeat; with the lock held."""
+        """Run the tasks that are due at each heartbeat. Called with the lock held."""
         self._incarnations.heartbeat()
         if self._writer.is_failing or self._writer.has_pending:
             self._writer.flush()
@@ -55,8 +55,8 @@
         self._table.expire(now)
         try:
             self._reader.follow()
-            for segment in self._table.droppable_segments(self._reader.numbers(), now):
-                self._reader.drop(segment)
+            for segment in self._table.deletable_segments(self._reader.segment_numbers(), now):
+                self._reader.delete(segment)
         except OSError as error:
             logger.warning("expired segments not deleted: %s", error)
 
@@ -67,7 +67,7 @@
                 self._changed.wait(RESULT_POLL_S if self._waiters else HEARTBEAT_INTERVAL_S)
                 if self._is_closed():
                     return
-                requests = self._waiters.take_all()
+                requests = self._waiters.pop_all()
             still_waiting = self._waiters.answer_ended(requests)
             with self._changed:
                 self._waiters.put_back(still_waiting)
@@ -77,7 +77,10 @@
                 self._run_tasks_safely()
 
     def _run_tasks_safely(self) -> None:
-        """Run the tasks; no error ends the thread, since without heartbeats the incarnation seems stopped."""
+        """Run the tasks and log any error.
+
+        An error must not end the thread: without heartbeats the incarnation would be taken for stopped.
+        """
         try:
             self.run_tasks()
         except Exception as error:
--- a/cairnvane/claims/inspection.py
+++ b/cairnvane/claims/inspection.py
@@ -1,6 +1,6 @@
-"""What the command line shows of a claim log: its segments read as any incarnation would, and its state.
+"""Reads a claim log for the command line, in the same way as an incarnation does.
 
-Nothing is changed, and servers may go on using it.
+Nothing is changed, and servers may use the claim log at the same time.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 from .incarnations import INCARNATIONS_FOLDER, Incarnations, Liveness
 from .storage import SEGMENT_SUFFIX, OsFolder
 
-# How much later than its arrival a request is read at the most, where no settings say so.
+# The longest time from the arrival of a request until it is read, assumed since no settings are available.
 _MAX_READ_DELAY_US = 60_000_000
-_FOLDER_PREFIX = "ledger"
-# So many digits of the boot id stand in the name of a claim log's folder.
+_CLAIM_LOG_PREFIX = "ledger"
+# The number of digits of the boot id in the name of a claim log's folder.
 _BOOT_ID_DIGITS = 8
-# What a record of a result holds beside the result.
-_RESULT_OVERHEAD_BYTES = records.HEAD_BYTES + records.COMMON_BYTES + records.FINGERPRINT_BYTES
+# The size of a result record without the result.
+_RESULT_OVERHEAD_BYTES = records.HEADER_BYTES + records.COMMON_BYTES + records.FINGERPRINT_BYTES
 
 
 @dataclass(slots=True)
 class ClaimLogReport:
-    """What a claim log holds."""
+    """The content of a claim log and the damage in it."""
 
     path: Path
     segments: int = 0
     bytes: int = 0
     records: int = 0
-    passed_over: list[str] = field(default_factory=list)  # segments with data that no record was read from
-    tail: int = 0  # unreadable bytes at the end: being written, or cut short by a kill
-    foreign: list[str] = field(default_factory=list)  # files that are no segments
+    damaged_segments: list[str] = field(default_factory=list)  # findings on segments with unreadable data
+    tail_bytes: int = 0  # unreadable bytes at the end: a record being written, or one cut short by a kill
+    foreign: list[str] = field(default_factory=list)  # files that are not segments
     table: ClaimTable = field(default_factory=lambda: ClaimTable(_MAX_READ_DELAY_US))
     incarnations: dict[int, Liveness] = field(default_factory=dict)
 
     @property
     def is_damaged(self) -> bool:
-        """Whether a record may be lost."""
-        return bool(self.passed_over)
+        """Whether records may be lost."""
+        return bool(self.damaged_segments)
 
     def lines(self) -> list[str]:
-        """A report for people, one finding a line."""
-        lines = [f"damaged: {finding}" for finding in self.passed_over]
+        """Return the report as text, one finding per line."""
+        lines = [f"damaged: {finding}" for finding in self.damaged_segments]
         lines += [f"foreign: {name}" for name in self.foreign]
-        if self.tail:
-            lines.append(f"torn: {self.tail} bytes at the end")
+        if self.tail_bytes:
+            lines.append(f"torn: {self.tail_bytes} bytes at the end")
         lines.append(
             f"ledger {self.path.name}: {self.segments} segments, {self.bytes:,} bytes, "
             f"{self.records:,} records; keys: {self._key_counts()}"
@@ -72,33 +72,33 @@
 
 
 def claim_log_folders(folder: Path) -> list[Path]:
-    """The folders of the claim logs that this folder is or holds."""
+    """Return the folder itself if it is a claim log, else the claim logs in it."""
     if any(folder.glob(f"*{SEGMENT_SUFFIX}")):
         return [folder]
-    return sorted(path for path in folder.glob(f"{_FOLDER_PREFIX}.*") if path.is_dir())
+    return sorted(path for path in folder.glob(f"{_CLAIM_LOG_PREFIX}.*") if path.is_dir())
 
 
 def inspect(path: Path) -> ClaimLogReport:
-    """Read a claim log; `records.NewerVersionError` or `OSError` if that is impossible."""
-    found = ClaimLogReport(path)
+    """Read a claim log; raises `records.NewerVersionError` or `OSError`."""
+    report = ClaimLogReport(path)
     folder = OsFolder(path)
     for number in folder.segment_numbers():
         with contextlib.closing(folder.open(number, create=False)) as segment:
             data = segment.read(0, segment.status().size)
-        _add_segment(found, number, data)
-    found.foreign = [file.name for file in path.iterdir() if file.suffix != SEGMENT_SUFFIX]
-    found.incarnations = _read_incarnations(path)
-    return found
+        _add_segment(report, number, data)
+    report.foreign = [file.name for file in path.iterdir() if file.suffix != SEGMENT_SUFFIX]
+    report.incarnations = _read_incarnations(path)
+    return report
 
 
 def show(path: Path) -> Iterator[dict[str, str]]:
-    """Read a claim log, and yield a row for each key; errors as of `look`."""
-    found = inspect(path)
+    """Read a claim log, and yield a row for each key; raises the same errors as `inspect`."""
+    report = inspect(path)
     now = clock.now()
     boot_id = clock.boot_id() or "unknown"
     is_this_boot = path.name.rpartition(".")[2] == boot_id[:_BOOT_ID_DIGITS]
-    for key, entry in found.table.entries.items():
-        liveness = found.incarnations.get(entry.incarnation, Liveness.DEAD)
+    for key, entry in report.table.entries.items():
+        liveness = report.incarnations.get(entry.incarnation, Liveness.DEAD)
         remaining_s = f"{max(0, entry.expires_at - now) / 1e6:.1f}"
         row = {
             "token": key.hex(),
@@ -113,37 +113,37 @@
         yield row
 
 
-def _add_segment(found: ClaimLogReport, number: int, data: bytes) -> None:
-    """Add the content of the next segment; `records.NewerVersionError`."""
+def _add_segment(report: ClaimLogReport, number: int, data: bytes) -> None:
+    """Add the content of the next segment; raises `records.NewerVersionError`."""
     records.check_version(data)
     scan = records.scan(data)
     for offset, length, record in scan.records:
-        found.table.apply(record, RecordLocation(number, offset, length))
-    found.segments += 1
-    found.bytes += len(data)
-    found.records += len(scan.records)
-    found.tail = len(data) - scan.used
+        report.table.apply(record, RecordLocation(number, offset, length))
+    report.segments += 1
+    report.bytes += len(data)
+    report.records += len(scan.records)
+    report.tail_bytes = len(data) - scan.used
     if scan.passed_over:
-        found.passed_over.append(f"segment {number}: {scan.passed_over} bytes passed over")
+        report.damaged_segments.append(f"segment {number}: {scan.passed_over} bytes passed over")
 
 
 def _read_incarnations(path: Path) -> dict[int, Liveness]:
-    """The incarnations that use the claim log in this folder.
+    """Return the incarnations that use the claim log in this folder.
 
-    Their files lie beside the folder if it is in the folder of cached results, else in a folder for each
-    server name in `$TMPDIR`.
+    Their files lie in a sibling folder if the claim log is in the folder of cached results, else in a folder
+    for each server name in `$TMPDIR`.
     """
     incarnations_folder = path.parent / INCARNATIONS_FOLDER
     if not incarnations_folder.is_dir():
         server_name = path.name.rpartition(".")[0]
         incarnations_folder = path.parent.parent / INCARNATIONS_FOLDER / server_name
     incarnations = Incarnations(incarnations_folder)
-    incarnations.number = 0  # a reader is none of them
+    incarnations.number = 0  # the reader is not an incarnation
     return {number: incarnations.liveness(number) for number in incarnations.others()}
 
 
 def _result_bytes(entry: Entry) -> int | None:
-    """The size of a result; None if there is none."""
+    """Return the size of a result; None if there is none."""
     if entry.result_location is None:
         return None
     return entry.result_location.length - _RESULT_OVERHEAD_BYTES
--- a/cairnvane/claims/records.py
+++ b/cairnvane/claims/records.py
@@ -1,8 +1,8 @@
-"""The format of the claim log's records, to bytes and back. No I/O.
+"""Encodes and decodes the claim log's records. No I/O.
 
-Several incarnations append to one file, and a write may be cut short where another's follows. So each record
-begins with a magic number and carries one checksum over all of it; where no record can be read, the next
-readable one is searched for.
+Several incarnations append to one file, and a write that was cut short may be followed by another
+incarnation's record. So each record begins with a magic number and has one checksum over all of it. Where no
+record can be read, the next readable one is searched for.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 _FORMAT_NAME = b"CVL"
 MAGIC = _FORMAT_NAME + b"%d" % VERSION
 _HEADER = struct.Struct("<4sIHBxQ")  # magic, checksum of all behind it, payload's length, kind, incarnation
-HEAD_BYTES = _HEADER.size
-_CHECKSUM_AT = len(MAGIC)
-_CHECKED_FROM = 8  # the checksum covers the record from this offset on
+HEADER_BYTES = _HEADER.size
+_CHECKSUM_OFFSET = len(MAGIC)
+_CHECKED_START = 8  # the checksum covers the record from this offset on
 _COMMON = struct.Struct("<16sQQ")  # key, time of the record, expiry
 COMMON_BYTES = _COMMON.size
-FINGERPRINT_BYTES = 16  # of a request's fingerprint
+FINGERPRINT_BYTES = 16
 MAX_REST_BYTES = (1 << 16) - 1 - COMMON_BYTES
-# A record of this kind ends its segment: nothing behind it counts. The kinds of all other records are the
-# numbers of `Step`.
+# A record of this kind seals its segment: records behind it are ignored. The kinds of all other records are
+# the numbers of `Step`.
 SEAL = 16
 _KINDS = {SEAL, Step.INTENT, Step.RESULT, Step.FAULT, Step.NEVER}
 NO_KEY = bytes(16)  # the key of a record that concerns no key
@@ -35,7 +35,7 @@
 class NewerVersionError(ClaimError, OSError):
     """A segment was written by a program version whose format this one can't read.
 
-    To an incarnation that already serves, this is a folder that fails: it accepts no new keys.
+    An incarnation that already serves handles this as a failure of the folder: it accepts no new keys.
     """
 
 
@@ -45,13 +45,13 @@
     kind: int
     incarnation: int  # the incarnation that wrote it
     key: bytes  # the idempotency key
-    made_at: int  # when it was made
-    expires_at: int  # when its key expires
+    made_at: int
+    expires_at: int  # the time when its key expires
     rest: bytes  # of an intent: the fingerprint; of an end: the fingerprint and the result
 
 
 class ScannedRecord(NamedTuple):
-    """A record, and where it stands in the scanned data."""
+    """A record and its location in the scanned data."""
 
     offset: int
     length: int
@@ -59,31 +59,33 @@
 
 
 class Scan(NamedTuple):
-    """What a piece of a segment holds."""
+    """The records found in a piece of a segment."""
 
     records: list[ScannedRecord]
-    used: int  # bytes up to which nothing needs to be read again
-    passed_over: int  # bytes among these that no record could be read from
+    used: int  # the number of bytes that need not be read again
+    passed_over: int  # how many of these bytes could not be read as a record
 
 
-def encode(kind: int, life: int, token: bytes, at: int, until: int, rest: bytes = b"") -> bytes:
-    """Encode a record; `RecordTooLongError` (a `ValueError`) if it does not fit."""
+def encode(
+    kind: int, incarnation: int, key: bytes, made_at: int, expires_at: int, rest: bytes = b""
+) -> bytes:
+    """Encode a record; raises `RecordTooLongError` (a `ValueError`) if it is too long."""
     if len(rest) > MAX_REST_BYTES:
         raise RecordTooLongError(
-            f"record of key {token.hex()}: {len(rest)} bytes, at most {MAX_REST_BYTES} fit"
+            f"record of key {key.hex()}: {len(rest)} bytes, at most {MAX_REST_BYTES} fit"
         )
-    payload = _COMMON.pack(token, at, until) + rest
-    header = _HEADER.pack(MAGIC, 0, len(payload), kind, life)
-    checked_header = header[_CHECKED_FROM:]
+    payload = _COMMON.pack(key, made_at, expires_at) + rest
+    header = _HEADER.pack(MAGIC, 0, len(payload), kind, incarnation)
+    checked_header = header[_CHECKED_START:]
     checksum = crc32(payload, crc32(checked_header))
-    return header[:_CHECKSUM_AT] + checksum.to_bytes(4, "little") + checked_header + payload
+    return header[:_CHECKSUM_OFFSET] + checksum.to_bytes(4, "little") + checked_header + payload
 
 
 def scan(data: bytes) -> Scan:
     """Return all records of a piece of a segment.
 
-    Unreadable data is passed over once a readable record stands behind it; before that, it may be a record
-    that is still being written.
+    Unreadable data is passed over only if a readable record follows it. Otherwise it may be a record that is
+    still being written.
     """
     records: list[ScannedRecord] = []
     offset = 0
@@ -102,7 +104,7 @@
 
 
 def check_version(data: bytes) -> None:
-    """Raise `NewerVersionError` if a segment that begins so has a later version of the format."""
+    """Raise `NewerVersionError` if a segment that begins with this data has a later version of the format."""
     name = data[: len(_FORMAT_NAME)]
     version = data[len(_FORMAT_NAME) : len(_FORMAT_NAME) + 1]
     if name == _FORMAT_NAME and version.isdigit() and int(version) > VERSION:
@@ -110,23 +112,23 @@
 
 
 def _decode(data: bytes, offset: int) -> ScannedRecord | None:
-    """The record that begins at this offset; None if none can be read there."""
-    if len(data) - offset < HEAD_BYTES:
+    """Return the record that begins at this offset; None if no record can be read there."""
+    if len(data) - offset < HEADER_BYTES:
         return None
     magic, checksum, payload_length, kind, incarnation = _HEADER.unpack_from(data, offset)
-    end = offset + HEAD_BYTES + payload_length
+    end = offset + HEADER_BYTES + payload_length
     if magic != MAGIC or kind not in _KINDS or payload_length < COMMON_BYTES or end > len(data):
         return None
-    if checksum != crc32(data[offset + _CHECKED_FROM : end]):
+    if checksum != crc32(data[offset + _CHECKED_START : end]):
         return None
-    key, made_at, expires_at = _COMMON.unpack_from(data, offset + HEAD_BYTES)
-    rest = data[offset + HEAD_BYTES + COMMON_BYTES : end]
+    key, made_at, expires_at = _COMMON.unpack_from(data, offset + HEADER_BYTES)
+    rest = data[offset + HEADER_BYTES + COMMON_BYTES : end]
     record = Record(kind, incarnation, key, made_at, expires_at, rest)
-    return ScannedRecord(offset, HEAD_BYTES + payload_length, record)
+    return ScannedRecord(offset, HEADER_BYTES + payload_length, record)
 
 
 def _find_next(data: bytes, offset: int) -> int | None:
-    """Where the next readable record begins behind an unreadable one; None if there is none."""
+    """Return the offset of the next readable record behind this offset; None if there is none."""
     while (offset := data.find(MAGIC, offset + 1)) >= 0:
         if _decode(data, offset) is not None:
             return offset
--- a/cairnvane/claims/result_waiters.py
+++ b/cairnvane/claims/result_waiters.py
@@ -22,14 +22,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Outcome:
-    """How a run has ended; no result if it failed or its end will never be known."""
+class _RunEnd:
+    """How a run has ended; without a result if it failed or its end will never be known."""
 
     result: bytes | None = None
 
 
 class ResultWaiters:
-    """The requests for results of runs that have not ended. Safe to call from any thread."""
+    """The requests that wait for results of runs that have not ended. Safe to call from any thread."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         reader: SegmentReader,
         incarnations: Incarnations,
     ) -> None:
-        """`changed` has the claim log's lock, and is notified when a request begins to wait."""
+        """`changed` holds the claim log's lock, and is notified when a request begins to wait."""
         self._changed = changed
         self._table = table
         self._reader = reader
@@ -50,52 +50,53 @@
         return bool(self._waiting)
 
     def answer_or_wait(self, request: ResultRequest) -> None:
-        """Answer a request at once if the run has ended; else it waits for `take_all`."""
+        """Answer a request at once if the run has ended; else queue it until `pop_all` is called."""
         if self._answer(request):
             return
         with self._changed:
             self._waiting.append(request)
             self._changed.notify()
 
-    def take_all(self) -> list[ResultRequest]:
-        """Remove and return all that wait; with the lock held."""
+    def pop_all(self) -> list[ResultRequest]:
+        """Remove and return all waiting requests. Called with the lock held."""
         waiting = self._waiting
         self._waiting = []
         return waiting
 
     def answer_ended(self, requests: list[ResultRequest]) -> list[ResultRequest]:
-        """Answer those whose run has ended, and return the others; without the lock."""
+        """Answer the requests whose run has ended, and return the others. Called without the lock."""
         return [request for request in requests if not self._answer(request)]
 
     def put_back(self, requests: list[ResultRequest]) -> None:
-        """Let requests that were taken wait on; with the lock held."""
+        """Queue requests again that `pop_all` returned. Called with the lock held."""
         self._waiting.extend(requests)
 
     def _answer(self, request: ResultRequest) -> bool:
-        """Answer a request, outside the lock; False if it has to wait."""
+        """Answer a request; False if it has to wait. The answer is passed on without the lock."""
         with self._changed:
-            outcome = self._outcome(request)
-        if outcome is None:
+            run_end = self._run_end(request)
+        if run_end is None:
             return False
-        request.then(outcome.result)
+        request.then(run_end.result)
         return True
 
-    def _outcome(self, request: ResultRequest) -> _Outcome | None:
-        """What to answer; None while the run may still end."""
+    def _run_end(self, request: ResultRequest) -> _RunEnd | None:
+        """Return the end of the requested run; None while it may still end."""
         self._reader.try_follow()
         entry = self._table.entries.get(request.key)
         if entry is None or entry.fingerprint != request.fingerprint:
-            return _Outcome()
+            return _RunEnd()
         if entry.state is KeyState.INTENDED and not self._is_abandoned(entry):
             return None
         if entry.state is KeyState.FINISHED:
-            return _Outcome(self._reader.result(request.key, entry))
-        return _Outcome()
+            return _RunEnd(self._reader.result(request.key, entry))
+        return _RunEnd()
 
     def _is_abandoned(self, entry: Entry) -> bool:
-        """Whether a run without an end will never have one: its incarnation is dead and has written its last.
+        """Whether a run without a recorded end will never get one, because its incarnation is dead.
 
-        Nobody can tell whether its worker pool ran it, so it never runs again.
+        The log is read once more after the incarnation was found dead, since its last records may not have
+        been read before. It is not known whether its worker pool ran the request, so it is never run again.
         """
         if self._incarnations.liveness(entry.incarnation) is not Liveness.DEAD:
             return False
--- a/cairnvane/claims/segment_reader.py
+++ b/cairnvane/claims/segment_reader.py
@@ -1,4 +1,4 @@
-"""Reading the segments of the claim log in order, as all incarnations append to them."""
+"""Reads the segments of the claim log in order, while all incarnations append to them."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 @dataclass(slots=True)
 class OpenSegment:
-    """An open segment, and how far it has been read. Sizes are in bytes."""
+    """An open segment and the position up to which it was read. Sizes are in bytes."""
 
     number: int
     file: Segment
-    offset: int = 0  # up to here it has been read
-    seen_size: int = 0  # its size when it was last read
+    offset: int = 0  # the records up to here were read
+    seen_size: int = 0  # the size of the file when it was last read
 
 
 class SegmentReader:
-    """The open segments, and how far each has been read into the claim table.
+    """The open segments, whose records it applies to the claim table.
 
-    All methods need the claim log's lock; those that read or write files raise `OSError`.
+    All methods are called with the claim log's lock held. Methods that read or write files raise `OSError`.
     """
 
     def __init__(
@@ -41,9 +41,9 @@
         incarnation: int,
         before_recreation: Callable[[], None],
     ) -> None:
-        """`before_recreation` is called when the folder was removed, before it is created again."""
-        self.current: OpenSegment  # the newest segment, to append to
-        self.own_records = 0  # records of this incarnation that were applied where they count
+        """`before_recreation` is called after the folder was removed and before it is created again."""
+        self.current: OpenSegment  # the newest segment, to which records are appended
+        self.own_records = 0  # number of records of this incarnation that were applied before a seal
         self._folder = folder
         self._table = table
         self._incarnation = incarnation
@@ -57,21 +57,21 @@
         self._segments.clear()
         numbers = self._folder.segment_numbers()
         for number in numbers or [_FIRST_SEGMENT]:
-            with contextlib.suppress(FileNotFoundError):  # another incarnation has deleted it
-                self._enter(number, create=not numbers)
+            with contextlib.suppress(FileNotFoundError):  # another incarnation has deleted the segment
+                self._open_segment(number, create=not numbers)
         if not self._segments:
             raise FolderRemovedError(f"the folder of segments {numbers} is being removed")
         self.follow()
 
     def follow(self) -> None:
-        """Read on to the end of all that any incarnation has written."""
+        """Read everything that any incarnation has written since the last call."""
         while True:
             segment = self.current
             size, is_linked = segment.file.status()
             if size != segment.seen_size:
                 self._read(segment, size)
             if segment.number in self._table.sealed_segments:
-                self._enter_next()
+                self._open_next_segment()
             elif is_linked:
                 return
             else:
@@ -79,7 +79,7 @@
                 return
 
     def try_follow(self) -> bool:
-        """Read on as `follow` does; False if the folder fails, and what was read so far has to do."""
+        """Do the same as `follow`, but return False instead of raising an error if the folder fails."""
         try:
             self.follow()
         except OSError:
@@ -89,8 +89,9 @@
     def apply_appended(self, record: Record, length: int) -> bool:
         """Apply a record that was just appended to the current segment, without reading it back.
 
-        Only if the size says that it stands right behind all that was read, so nobody has written in between;
-        else return False. Most often it does, and that saves half of the cost.
+        This is possible only if the size shows that the record directly follows the data that was read, so
+        that no other incarnation has written in between; otherwise returns False. In most cases it is
+        possible, and it saves half of the cost.
         """
         segment = self.current
         size, is_linked = segment.file.status()
@@ -103,7 +104,7 @@
         return True
 
     def result(self, key: bytes, entry: Entry) -> bytes | None:
-        """The result of a finished run; None if it can't be read any more. Never raises."""
+        """Return the result of a finished run; None if it can't be read any more. Never raises."""
         if entry.result_location is None:
             return entry.unwritten_result
         segment_number, offset, length = entry.result_location
@@ -119,45 +120,45 @@
             return None
         return found[0].record.rest[records.FINGERPRINT_BYTES :]
 
-    def numbers(self) -> list[int]:
-        """The open segments, oldest first."""
+    def segment_numbers(self) -> list[int]:
+        """Return the numbers of the open segments, oldest first."""
         return list(self._segments)
 
     def total_bytes(self) -> int:
-        """The bytes that were read of all open segments."""
+        """Return the number of bytes that were read from the open segments."""
         return sum(segment.offset for segment in self._segments.values())
 
     def files(self) -> list[Segment]:
-        """The files of the open segments, oldest first."""
+        """Return the files of the open segments, oldest first."""
         return [segment.file for segment in self._segments.values()]
 
-    def drop(self, number: int) -> None:
-        """Delete a segment, and close it."""
+    def delete(self, number: int) -> None:
+        """Delete and close a segment."""
         self._folder.remove(number)
         self._segments.pop(number).file.close()
         self._table.forget_segment(number)
 
-    def _enter(self, number: int, create: bool) -> None:
+    def _open_segment(self, number: int, create: bool) -> None:
         """Open a segment, make it the current one, and read it."""
         segment = OpenSegment(number, self._folder.open(number, create))
-        records.check_version(segment.file.read(0, records.HEAD_BYTES))
+        records.check_version(segment.file.read(0, records.HEADER_BYTES))
         self._segments[number] = segment
         self.current = segment
         self._read(segment, segment.file.status().size)
 
-    def _enter_next(self) -> None:
-        """Go on to the segment behind a sealed one, the first of those that were not deleted meanwhile."""
+    def _open_next_segment(self) -> None:
+        """Open the oldest existing segment after the current, sealed one; create one if there is none."""
         while True:
             current = self.current.number
             later = [number for number in self._folder.segment_numbers() if number > current]
             try:
-                self._enter(later[0] if later else current + 1, create=not later)
+                self._open_segment(later[0] if later else current + 1, create=not later)
                 return
             except FileNotFoundError:
-                continue  # deleted meanwhile: there is a later one
+                continue  # it was deleted meanwhile, so a later one exists
 
     def _read(self, segment: OpenSegment, size: int) -> None:
-        """Apply what was written to a segment since it was last read."""
+        """Apply the records that were written to a segment since it was last read."""
         table = self._table
         while segment.offset < size:
             data = segment.file.read(segment.offset, size - segment.offset)
@@ -173,11 +174,11 @@
                 logger.warning("segment %s: %s bytes passed over", segment.number, scan.passed_over)
             segment.offset += scan.used
             if not scan.used:
-                break  # a record that is being written, or was cut short
+                break  # the rest is a record that is being written or was cut short
         segment.seen_size = size
 
     def _recreate_folder(self) -> None:
-        """Create the folder anew after someone has removed it."""
+        """Create the folder again after it was removed."""
         logger.warning("claim log folder was removed; creating it again")
         self._before_recreation()
         self._folder.create()
--- a/cairnvane/claims/segment_writer.py
+++ b/cairnvane/claims/segment_writer.py
@@ -1,4 +1,4 @@
-"""Appending records to the claim log, and keeping those that the folder does not take."""
+"""Appends records to the claim log, and keeps those that can't be written while the folder fails."""
 
 from __future__ import annotations
 
@@ -16,20 +16,22 @@
 
 logger = logging.getLogger(__name__)
 
-# A segment is sealed when it has grown to this: small, since it is deleted whole, and counts as memory.
+# A segment is sealed when it is larger than this. The value is small, since a segment can only be deleted as
+# a whole and counts as memory.
 SEGMENT_BYTES = 512 << 10
-# A record that lands behind a seal is appended again to the next segment; this many times is never needed.
+# A record that lands behind a seal is appended again to the next segment. This limit is never reached in
+# practice.
 MAX_APPEND_ATTEMPTS = 16
-# A folder that failed is left alone for so long before it is tried again.
+# The time after a failed write before the folder is tried again.
 RETRY_DELAY_US = 100_000
-# The place of a record that no file has.
+# The location of a record that is in no file.
 _IN_MEMORY = RecordLocation(-1, 0, 0)
 
 
 class SegmentWriter:
-    """Appends this incarnation's records, and holds those that are still to be written.
+    """Appends this incarnation's records, and keeps those that are still to be written.
 
-    All methods need the claim log's lock.
+    All methods are called with the claim log's lock held.
     """
 
     def __init__(
@@ -41,16 +43,16 @@
         self._reader = reader
         self._incarnations = incarnations
         self._incarnation = incarnations.number
-        self._pending: list[Record] = []  # what the folder did not take, oldest first
+        self._pending: list[Record] = []  # records that could not be written, oldest first
         self._retry_at = 0
 
     @property
     def has_pending(self) -> bool:
-        """Whether some records are still to be written."""
+        """Whether any record is still to be written."""
         return bool(self._pending)
 
     def write(self, record: Record) -> bool:
-        """Append a record, after all that are pending; False if the folder does not take it."""
+        """Append a record, after all pending ones; False if the folder fails."""
         if (self.is_failing or self._pending) and not self.flush():
             return False
         try:
@@ -64,9 +66,9 @@
             return False
 
     def flush(self, *, at_once: bool = False) -> bool:
-        """Try to write what is pending; False if that fails, or if the last failure was a moment ago.
+        """Try to write the pending records; False if that fails or if the retry delay has not passed.
 
-        With `at_once`, try in the latter case, too.
+        With `at_once`, the retry delay is ignored.
         """
         if not at_once and clock.now() < self._retry_at:
             return False
@@ -81,11 +83,11 @@
         return True
 
     def add_pending(self, record: Record) -> None:
-        """Write this record once the folder takes it; it does not count before."""
+        """Queue a record to be written once the folder works; it is not applied to the table before."""
         self._pending.append(record)
 
     def keep_in_memory(self, record: Record, result: bytes | None = None) -> None:
-        """Let a record that the folder did not take count for this incarnation, and write it later."""
+        """Apply a record that could not be written to the claim table, and queue it to be written later."""
         self._table.apply(record, _IN_MEMORY)
         entry = self._table.entries.get(record.key)
         if entry is not None and record.kind == Step.RESULT:
@@ -94,7 +96,7 @@
         self._pending.append(record)
 
     def rewrite_own_claims(self) -> None:
-        """Put all records of this incarnation that still count before the pending ones."""
+        """Queue all valid records of this incarnation again, before the pending ones."""
         now = clock.now()
         rewritten: list[Record] = []
         for key, entry in self._table.entries.items():
@@ -103,21 +105,23 @@
                 and entry.expires_at > now
                 and entry.state is not KeyState.VOID
             ):
-                rewritten += self._records_of(key, entry, now)
+                rewritten += self._records_for_entry(key, entry, now)
         self._pending = [*rewritten, *self._pending]
 
-    def _records_of(self, key: bytes, entry: Entry, now: int) -> list[Record]:
-        """The records of this incarnation that lead to an entry; its result is held in memory from now on."""
+    def _records_for_entry(self, key: bytes, entry: Entry, now: int) -> list[Record]:
+        """Return the records of this incarnation that produce an entry; its result is moved into memory."""
         incarnation = self._incarnation
-        made = [Record(Step.INTENT, incarnation, key, entry.claimed_at, entry.expires_at, entry.fingerprint)]
+        own_records = [
+            Record(Step.INTENT, incarnation, key, entry.claimed_at, entry.expires_at, entry.fingerprint)
+        ]
         if entry.state is KeyState.FINISHED:
             entry.unwritten_result = self._reader.result(key, entry)
             entry.result_location = None
             rest = entry.fingerprint + (entry.unwritten_result or b"")
-            made.append(Record(Step.RESULT, incarnation, key, now, entry.expires_at, rest))
+            own_records.append(Record(Step.RESULT, incarnation, key, now, entry.expires_at, rest))
         elif entry.state is KeyState.FAILED:
-            made.append(Record(Step.FAULT, incarnation, key, now, entry.expires_at, entry.fingerprint))
-        return made
+            own_records.append(Record(Step.FAULT, incarnation, key, now, entry.expires_at, entry.fingerprint))
+        return own_records
 
     def _write_pending(self) -> None:
         if not self._incarnations.is_entered:
@@ -130,15 +134,16 @@
         self._reader.follow()
 
     def _remove_pending(self, record: Record) -> None:
-        """Remove this very record, wherever it stands by now.
+        """Remove a record that was written from the pending ones.
 
-        If the folder was found removed while it was written, others have been put before it.
+        It may no longer be the first one: if the folder was found removed during the write, other records
+        were queued before it.
         """
-        place = next(place for place, pending in enumerate(self._pending) if pending is record)
-        del self._pending[place]
+        index = next(index for index, pending in enumerate(self._pending) if pending is record)
+        del self._pending[index]
 
     def _append(self, record: Record) -> None:
-        """Append a record to the segment where it counts; `OSError`."""
+        """Append a record before the seal of a segment; raises `OSError`."""
         data = records.encode(*record)
         for _ in range(MAX_APPEND_ATTEMPTS):
             if self._append_to_current(record, data):
@@ -148,7 +153,7 @@
         )
 
     def _append_to_current(self, record: Record, data: bytes) -> bool:
-        """Append a record to the current segment; False if that was sealed meanwhile."""
+        """Append a record to the current segment; False if the segment was sealed before it."""
         reader = self._reader
         segment = reader.current
         own_records_before = reader.own_records
--- a/cairnvane/claims/storage.py
+++ b/cairnvane/claims/storage.py
@@ -1,7 +1,7 @@
-"""The files of the claim log: segments that several processes append to, each write whole and in one place.
+"""The files of the claim log: segments to which several processes append, each record in a single write.
 
-A segment is a numbered file; the kernel puts each O_APPEND write behind all earlier ones. `Segment` and
-`Folder` are protocols, so that tests can put in a model that fails at any step.
+A segment is a numbered file. The kernel places each O_APPEND write behind all earlier ones. `Segment` and
+`Folder` are protocols, so that tests can substitute a model that fails at any step.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import NamedTuple, Protocol
 
-# Segments hold callers' results: nobody else on the machine may read them.
+# Segments contain callers' results, which other users of the machine must not read.
 _FILE_MODE = 0o600
 _FOLDER_MODE = 0o700
 SEGMENT_SUFFIX = ".ledger"
@@ -20,11 +20,11 @@
 
 
 class SegmentStatus(NamedTuple):
-    """What the file system says about an open segment."""
+    """The status of an open segment in the file system."""
 
     size: int  # bytes
-    # It still has its name. It loses that when it is deleted as old, or with its folder; its content can
-    # still be read.
+    # Whether the file still has a name. It has none after it was deleted because of its age or with its
+    # folder; its content can still be read.
     is_linked: bool
 
 
@@ -32,13 +32,13 @@
     """An open segment. All methods but `close` raise `OSError`."""
 
     def append(self, data: bytes) -> None:
-        """Append the data in one write; after an `OSError` a part of it may have been written."""
+        """Append the data in one write; after an `OSError`, part of it may have been written."""
 
     def status(self) -> SegmentStatus:
         """Return its size, and whether its file still has a name."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Return as many of these bytes as there are."""
+        """Return the bytes from `offset` on; fewer than `length` if the file ends before."""
 
     def sync(self) -> None:
         """Wait until all appended data would survive a power cut."""
@@ -57,7 +57,7 @@
         """Return the numbers of the existing segments, oldest first."""
 
     def open(self, number: int, create: bool) -> Segment:
-        """Open a segment; with `create`, make it if it does not exist."""
+        """Open a segment; with `create`, create it if it does not exist."""
 
     def remove(self, number: int) -> None:
         """Delete a segment; no error if another incarnation has already done so."""
--- a/cairnvane/idempotency/run_recovery.py
+++ b/cairnvane/idempotency/run_recovery.py
@@ -61,7 +61,7 @@
         unknown.
         """
         self._linked_without_recovery = True
-        self._pool.resume(0, None, states.same_pool)
+        self._pool.resume(0, None, states.is_same_pool)
         self._pool.start()
 
     def store_recovered(self, recovered: RecoveredState) -> None:
@@ -74,7 +74,7 @@
         for run in recovered.started_runs:
             self._adopt_or_fail(run, now)
         if not self._linked_without_recovery:
-            self._pool.resume(recovered.last_notice, recovered.pool_started_at, states.same_pool)
+            self._pool.resume(recovered.last_notice, recovered.pool_started_at, states.is_same_pool)
             self._pool.start()
         for request in self._gate.open():
             self._owner.retry_arrival(request)
--- a/tests/claims/test_claim_table.py
+++ b/tests/claims/test_claim_table.py
@@ -68,7 +68,7 @@
     assert not table.entries
     table.apply(claim_record(2, 7), RecordLocation(2, 0, 0))
     assert table.is_holder(KEY, 2, 7)
-    assert table.droppable_segments([1, 2], 9_000_000) == [1]  # the other one is not sealed
+    assert table.deletable_segments([1, 2], 9_000_000) == [1]  # the other one is not sealed
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.sampled_from([*Step][:5]), st.integers(0, 1))))
--- a/tests/claims/test_legacy_detection.py
+++ b/tests/claims/test_legacy_detection.py
@@ -16,7 +16,7 @@
 
 
 def test_a_marker_of_an_ended_process_does_not_count(tmp_path: Path) -> None:
-    markers = tmp_path / legacy.MARKERS
+    markers = tmp_path / legacy.MARKER_FOLDER
     markers.mkdir()
     (markers / f"{NAME}.4194305.17").write_bytes(b"17\n")  # no such process
     (markers / f"{NAME}.{os.getpid()}.17").write_bytes(b"17\n")  # its id is another process's by now
@@ -24,7 +24,7 @@
 
 
 def test_a_marker_of_a_running_process_counts(tmp_path: Path) -> None:
-    markers = tmp_path / legacy.MARKERS
+    markers = tmp_path / legacy.MARKER_FOLDER
     markers.mkdir()
     (markers / f"{NAME}.4194305.17").write_bytes(b"17\n")
     (markers / f"{NAME}.{os.getpid()}.17").write_bytes(b"17\n")
