--- a/tests/claim_helpers.py
+++ b/tests/claim_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the claim log share: records, incarnations that use one folder, folders that fail."""
+"""Helpers for tests of the claim log: records, incarnations that share a folder, and failing folders."""
 
 from __future__ import annotations
 
@@ -25,22 +25,22 @@
 FORGED_FINGERPRINT = b"f" * 16
 MAX_READ_DELAY_US = 5_000_000
 KEY_LIFETIME_US = 60_000_000
-FIRST_PLACE = RecordLocation(1, 0, 0)
-LEDGER_FOLDER = "ledger"
+FIRST_LOCATION = RecordLocation(1, 0, 0)
+CLAIM_LOG_FOLDER = "ledger"
 
 
-def claim_record(incarnation: int, at: int, expires_at: int = 1_000) -> Record:
+def claim_record(incarnation: int, made_at: int, expires_at: int = 1_000) -> Record:
     """A claim of `KEY`."""
-    return Record(Step.INTENT, incarnation, KEY, at, expires_at, FINGERPRINT)
+    return Record(Step.INTENT, incarnation, KEY, made_at, expires_at, FINGERPRINT)
 
 
-def end_record(incarnation: int, at: int, step: Step) -> Record:
-    """The end of a claim that `claim_record` made."""
-    return Record(step, incarnation, KEY, at, 1_000, FINGERPRINT)
+def end_record(incarnation: int, made_at: int, step: Step) -> Record:
+    """A record that ends or gives up a claim made by `claim_record`."""
+    return Record(step, incarnation, KEY, made_at, 1_000, FINGERPRINT)
 
 
 class Start(Enum):
-    """What became of an attempt to start a run."""
+    """The result of an attempt to start a run."""
 
     STARTED = "started"
     CLAIMED_ELSEWHERE = "claimed by another incarnation"
@@ -68,7 +68,7 @@
         self.claim_log.record_start(
             run,
             lambda: outcomes.append(Start.STARTED),
-            lambda claimed: outcomes.append(Start.CLAIMED_ELSEWHERE if claimed else Start.NOT_RECORDED),
+            lambda is_claimed: outcomes.append(Start.CLAIMED_ELSEWHERE if is_claimed else Start.NOT_RECORDED),
         )
         self.expires_at[key] = expires_at
         [outcome] = outcomes
@@ -83,13 +83,13 @@
         self.claim_log.record_never_started(key, self.expires_at[key], ())
 
     def look_up(self, fingerprint: bytes = FINGERPRINT, key: bytes = KEY) -> StoredEntry | None:
-        """What a request that arrives now is a duplicate of."""
+        """Look up the original of a request that arrives now."""
         return self.claim_log.look_up(key, fingerprint, clock.now())
 
     def request_result(
         self, key: bytes = KEY, fingerprint: bytes = FINGERPRINT
     ) -> Callable[[], bytes | None]:
-        """Ask for a run's result; the returned function waits for the answer."""
+        """Request a run's result; the returned function waits for it."""
         answers: list[bytes | None] = []
         is_answered = threading.Event()
 
@@ -106,20 +106,20 @@
         return wait
 
     def fetch_result(self, key: bytes = KEY, fingerprint: bytes = FINGERPRINT) -> bytes | None:
-        """Ask for a run's result, and wait for it."""
+        """Request a run's result, and wait for it."""
         return self.request_result(key, fingerprint)()
 
     def run_housekeeping(self) -> None:
-        """Do now what is due at each heartbeat."""
+        """Run the tasks that are due at each heartbeat."""
         with self.claim_log._lock:
             self.claim_log._housekeeping.run_tasks()
 
     def retry_now(self) -> None:
-        """Let the next use of a folder that failed try it again."""
+        """End the retry delay of a failed folder, so that its next use tries it again."""
         self.claim_log._writer._retry_at = 0
 
     def kill(self) -> None:
-        """As if killed: its lock is released, and it writes nothing more."""
+        """Simulate a kill: the lock is released, and nothing more is written."""
         self.claim_log._closed = True
         assert self.incarnations._fd is not None
         os.close(self.incarnations._fd)
@@ -127,7 +127,7 @@
         self.incarnations.heartbeat = lambda: None  # type: ignore[method-assign]
 
     def stop(self) -> None:
-        """End it in order."""
+        """Stop the incarnation in an orderly way."""
         self.claim_log.close()
         self.incarnations.leave()
 
@@ -137,22 +137,22 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.ledger = path / LEDGER_FOLDER
-        self.all: list[ServerIncarnation] = []
+        self.claim_log_folder = path / CLAIM_LOG_FOLDER
+        self.incarnations: list[ServerIncarnation] = []
 
     def start_incarnation(self, folder: OsFolder | None = None) -> ServerIncarnation:
-        """Start one more, with a folder of its own if it is to fail."""
-        self.all.append(ServerIncarnation(self.path, folder or OsFolder(self.ledger)))
-        return self.all[-1]
+        """Start one more incarnation; `folder` replaces its folder, for example with a failing one."""
+        self.incarnations.append(ServerIncarnation(self.path, folder or OsFolder(self.claim_log_folder)))
+        return self.incarnations[-1]
 
     def stop(self) -> None:
-        """End all of them."""
-        for incarnation in self.all:
+        """Stop all incarnations."""
+        for incarnation in self.incarnations:
             incarnation.stop()
 
 
 class FailingFolder(OsFolder):
-    """A folder whose disk fails at the next appends, each of which writes only a part of its data."""
+    """A folder whose next `failures` appends fail after writing only a part of their data."""
 
     failures = 0
     written_part = 2 / 3
@@ -173,20 +173,20 @@
 
 
 class Killed(BaseException):
-    """The process has ended here."""
+    """Raised at the point where the simulated process is killed."""
 
 
 class KillingFolder(OsFolder):
-    """A folder whose process is killed at one of its steps.
+    """A folder whose process is killed at a given step.
 
-    A step is before a write, in the middle of it or behind it, or before a file is created or removed.
+    The steps are before, in the middle of and after a write, and before a file is created or removed.
     """
 
     steps = 0
     kill_at = -1
 
     def is_kill_step(self) -> bool:
-        """Count a step; whether the process is killed at it."""
+        """Count a step; return whether the process is killed at it."""
         self.steps += 1
         return self.steps - 1 == self.kill_at
 
@@ -196,7 +196,7 @@
         segment = super().open(number, create)
         append = segment.append
 
-        def append_or_die(data: bytes) -> None:
+        def append_or_kill(data: bytes) -> None:
             for part in (0, len(data) // 2, len(data)):
                 if self.is_kill_step():
                     if part:
@@ -204,7 +204,7 @@
                     raise Killed
             append(data)
 
-        segment.append = append_or_die  # type: ignore[method-assign]
+        segment.append = append_or_kill  # type: ignore[method-assign]
         return segment
 
     def remove(self, number: int) -> None:
--- a/tests/claims/test_claim_log.py
+++ b/tests/claims/test_claim_log.py
@@ -1,4 +1,4 @@
-"""Of several incarnations of one server, one runs a request, and all others learn how it ended."""
+"""The claim log: one of several incarnations runs a request, and all others get its result."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from cairnvane.idempotency import durability
 from cairnvane.idempotency.store import KeyConflictError, StoredEntry
 
-# Tests of other folders import these from here.
+# Aliases that tests/idempotency imports from this module.
 SAME = FINGERPRINT
 UNREAD = MAX_READ_DELAY_US
 Steps = KillingFolder
@@ -37,12 +37,12 @@
     old, new = deployment.start_incarnation(), deployment.start_incarnation()
     assert old.look_up() is None
     assert old.start_run() is Start.STARTED
-    assert new.look_up() == StoredEntry(KEY, True)  # it may come to have a result
+    assert new.look_up() == StoredEntry(KEY, True)  # True, since the run may still produce a result
     wait_for_result = new.request_result()
     old.end_run(result)
     assert wait_for_result() == result
     assert new.look_up() == StoredEntry(KEY, result is not None)
-    latest = deployment.start_incarnation()  # which reads the log from the beginning
+    latest = deployment.start_incarnation()  # it reads the log from the beginning
     assert latest.start_run() is Start.CLAIMED_ELSEWHERE
     assert latest.fetch_result() == result
 
@@ -108,11 +108,11 @@
     assert deployment.start_incarnation().fetch_result() is None
 
 
-def test_a_run_of_a_stopped_incarnation_is_waited_for(
+def test_duplicates_wait_for_a_run_of_a_stopped_incarnation(
     deployment: Deployment,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The old process is stopped between the claim and the `spawn`; the new one may not run it meanwhile."""
+    """Guards against a second run while the old process is stopped between its claim and its `spawn`."""
     old, new = deployment.start_incarnation(), deployment.start_incarnation()
     assert old.start_run() is Start.STARTED
     later = clock.now() + HEARTBEAT_TIMEOUT_US + 1_000_000
@@ -125,7 +125,7 @@
     assert wait_for_result() == b"after all"
 
 
-def test_of_simultaneous_claims_exactly_one_counts(deployment: Deployment) -> None:
+def test_exactly_one_of_several_simultaneous_claims_is_valid(deployment: Deployment) -> None:
     incarnations = [deployment.start_incarnation() for _ in range(3)]
     barrier = threading.Barrier(len(incarnations))
     keys = [number.to_bytes(16, "little") for number in range(2_000)]
--- a/tests/claims/test_claim_log_kills.py
+++ b/tests/claims/test_claim_log_kills.py
@@ -1,4 +1,4 @@
-"""The claim log, with its process killed at every step of a history until none is left."""
+"""The claim log, with its process killed at each step of a sequence of runs in turn."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 @dataclass
-class History:
+class RunSequence:
     """Two runs with results, one that fails, one that never starts and one without an end.
 
-    Segments are sealed and deleted on the way.
+    Segments are sealed and deleted in between.
     """
 
     started: list[bytes] = field(default_factory=list)
     ended: dict[bytes, bytes | None] = field(default_factory=dict)  # with their results
 
-    def play(self, incarnation: ServerIncarnation) -> None:
-        """Go through all of it, unless killed on the way."""
+    def execute(self, incarnation: ServerIncarnation) -> None:
+        """Execute the sequence until its end, or until the process is killed."""
         for key in (*RESULTS, NEVER_STARTED_KEY, OPEN_KEY):
             if incarnation.start_run(key) is Start.STARTED:
                 self.started.append(key)
@@ -41,18 +41,21 @@
         incarnation.run_housekeeping()
 
     def possible_results(self, key: bytes) -> list[bytes | None]:
-        """What a later incarnation may answer: of an end that nobody was told of, also that it is unknown."""
+        """Return the results that a later incarnation may report.
+
+        If the end of the run was not reported before the kill, it may also be unknown.
+        """
         if key in self.ended:
             return [self.ended[key]]
         return [None, RESULTS.get(key)]
 
 
-def played_until_killed(deployment: Deployment, kill_at: int, history: History) -> bool:
-    """Play a history; whether it finished before the step at which its process is killed."""
-    folder = KillingFolder(deployment.ledger)
+def execute_until_killed(deployment: Deployment, kill_at: int, sequence: RunSequence) -> bool:
+    """Execute a sequence; return whether it finished before the step at which its process is killed."""
+    folder = KillingFolder(deployment.claim_log_folder)
     folder.kill_at = kill_at
     try:
-        history.play(deployment.start_incarnation(folder))
+        sequence.execute(deployment.start_incarnation(folder))
         return True
     except Killed:
         return False
@@ -60,28 +63,28 @@
         folder.kill_at = -1
 
 
-def test_killed_at_any_step_no_run_is_forgotten_and_no_answer_changes(
+def test_a_kill_at_any_step_loses_no_run_and_changes_no_result(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A started run is never run again, and a result that was answered is answered again.
+    """Guards against a kill that leads to a second run, or that loses or changes a reported result.
 
-    A concurrent incarnation has claimed in between, behind what the kill has cut short.
+    A concurrent incarnation writes a claim behind the record that the kill has cut short.
     """
     monkeypatch.setattr(segment_writer, "SEGMENT_BYTES", 500)
     for kill_at in itertools.count():
         deployment = Deployment(tmp_path / str(kill_at))
-        history = History()
-        is_finished = played_until_killed(deployment, kill_at, history)
+        sequence = RunSequence()
+        is_finished = execute_until_killed(deployment, kill_at, sequence)
         concurrent = deployment.start_incarnation()
         assert concurrent.start_run(OTHER_KEY) is Start.STARTED
         concurrent.end_run(b"concurrent", OTHER_KEY)
-        if deployment.all[0] is not concurrent:
-            deployment.all[0].kill()
+        if deployment.incarnations[0] is not concurrent:
+            deployment.incarnations[0].kill()
         new = deployment.start_incarnation()
-        for key in history.started:
+        for key in sequence.started:
             assert new.start_run(key) is Start.CLAIMED_ELSEWHERE, (kill_at, key)
-            assert new.fetch_result(key) in history.possible_results(key), (kill_at, key)
+            assert new.fetch_result(key) in sequence.possible_results(key), (kill_at, key)
         assert new.fetch_result(OTHER_KEY) == b"concurrent"
         deployment.stop()
         if is_finished:
--- a/tests/claims/test_claim_records.py
+++ b/tests/claims/test_claim_records.py
@@ -18,8 +18,8 @@
     ),
     st.integers(0, 2_000),
 )
-def test_torn_data_between_records_costs_no_record(parts: list[tuple[bytes, bytes]], cut: int) -> None:
-    """An incarnation whose write was cut short is followed by another's, of which nothing may be lost."""
+def test_torn_data_between_records_loses_no_record(parts: list[tuple[bytes, bytes]], cut: int) -> None:
+    """Guards against losing another incarnation's records behind a write that was cut short."""
     data = b""
     written = []
     for number, (rest, torn) in enumerate(parts):
@@ -35,12 +35,12 @@
     [b"", b"\0" * 300, encode(*claim_record(1, 5))[:-1], b"CVL1", b"x" * 99],
     ids=["empty", "zeros", "record cut short", "magic number", "text"],
 )
-def test_an_unreadable_tail_is_read_again(tail: bytes) -> None:
+def test_an_unreadable_tail_stays_to_be_read_again(tail: bytes) -> None:
     whole = encode(*claim_record(1, 2))
-    before_tail = scan(whole + tail)
-    assert (before_tail.used, before_tail.passed_over, len(before_tail.records)) == (len(whole), 0, 1)
-    behind_tail = scan(tail + whole)
-    assert (len(behind_tail.records), behind_tail.passed_over) == (1, len(tail))
+    record_first = scan(whole + tail)
+    assert (record_first.used, record_first.passed_over, len(record_first.records)) == (len(whole), 0, 1)
+    tail_first = scan(tail + whole)
+    assert (len(tail_first.records), tail_first.passed_over) == (1, len(tail))
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
     [b"", encode(*claim_record(1, 1)), b"something else"],
     ids=["empty", "this version", "no record"],
 )
-def test_a_segment_of_no_later_version_is_accepted(data: bytes) -> None:
+def test_a_segment_without_a_later_version_is_accepted(data: bytes) -> None:
     records.check_version(data)
 
 
--- a/tests/claims/test_claim_table.py
+++ b/tests/claims/test_claim_table.py
@@ -1,10 +1,10 @@
-"""Which claim of a key counts follows from the order of the records."""
+"""The claim table: the order of the records determines which claim of a key is valid."""
 
 from __future__ import annotations
 
 from claim_helpers import (
     FINGERPRINT,
-    FIRST_PLACE,
+    FIRST_LOCATION,
     KEY,
     MAX_READ_DELAY_US,
     OTHER_KEY,
@@ -22,11 +22,11 @@
 def table_of(*records: Record) -> ClaimTable:
     table = ClaimTable(MAX_READ_DELAY_US)
     for record in records:
-        table.apply(record, FIRST_PLACE)
+        table.apply(record, FIRST_LOCATION)
     return table
 
 
-def test_the_first_claim_counts_and_only_its_incarnation_can_end_it() -> None:
+def test_the_first_claim_is_valid_and_only_its_incarnation_can_end_it() -> None:
     table = table_of(
         claim_record(2, 11),
         claim_record(1, 10),
@@ -35,7 +35,7 @@
     )
     assert table.is_holder(KEY, 2, 11) and not table.is_holder(KEY, 1, 10)
     assert (table.entries[KEY].state, table.rejected_claims, table.illegal_steps) == (KeyState.INTENDED, 1, 2)
-    table.apply(end_record(2, 13, Step.RESULT), FIRST_PLACE)
+    table.apply(end_record(2, 13, Step.RESULT), FIRST_LOCATION)
     assert table.entries[KEY].state is KeyState.FINISHED
 
 
@@ -52,18 +52,20 @@
 def test_a_key_can_be_claimed_again_once_it_was_given_up_or_has_expired() -> None:
     table = table_of(claim_record(1, 10), end_record(1, 11, Step.NEVER))
     assert table.find(KEY, 20) is None
-    table.apply(claim_record(2, 12), FIRST_PLACE)
+    table.apply(claim_record(2, 12), FIRST_LOCATION)
     assert table.is_holder(KEY, 2, 12)
-    table.apply(claim_record(3, 999), FIRST_PLACE)
+    table.apply(claim_record(3, 999), FIRST_LOCATION)
     assert table.is_holder(KEY, 2, 12)
-    table.apply(claim_record(3, 1_000, expires_at=3_000), FIRST_PLACE)  # after expiry, whenever this is read
+    table.apply(
+        claim_record(3, 1_000, expires_at=3_000), FIRST_LOCATION
+    )  # made after expiry, no matter when it is read
     assert table.is_holder(KEY, 3, 1_000)
     assert table.find(KEY, 2_999) is not None and table.find(KEY, 3_000) is None
     assert table.expire(3_000 + MAX_READ_DELAY_US - 1) == 0
     assert table.expire(3_000 + MAX_READ_DELAY_US) == 1
 
 
-def test_nothing_behind_a_seal_counts() -> None:
+def test_records_behind_a_seal_are_ignored() -> None:
     table = table_of(Record(SEAL, 1, NO_KEY, 5, 5, b""), claim_record(1, 6))
     assert not table.entries
     table.apply(claim_record(2, 7), RecordLocation(2, 0, 0))
@@ -72,22 +74,22 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.sampled_from([*Step][:5]), st.integers(0, 1))))
-def test_no_history_lets_two_incarnations_hold_a_key(steps: list[tuple[int, Step, int]]) -> None:
-    """Whatever incarnations write in whatever order, a key is given up between two claims that count."""
+def test_no_sequence_of_records_lets_two_incarnations_hold_a_key(steps: list[tuple[int, Step, int]]) -> None:
+    """Guards against two valid claims of a key without the first one having been given up in between."""
     table = ClaimTable(MAX_READ_DELAY_US)
     holders: dict[bytes, int] = {}
-    for at, (incarnation, step, key_index) in enumerate(steps):
+    for made_at, (incarnation, step, key_index) in enumerate(steps):
         if step is Step.CALL:
             continue
         key = (KEY, OTHER_KEY)[key_index]
-        before = table.entries.get(key)
+        previous_entry = table.entries.get(key)
         is_given_up = (
             step is Step.NEVER
-            and before is not None
-            and before.incarnation == incarnation
-            and before.state in (KeyState.INTENDED, KeyState.VOID)
+            and previous_entry is not None
+            and previous_entry.incarnation == incarnation
+            and previous_entry.state in (KeyState.INTENDED, KeyState.VOID)
         )
-        table.apply(Record(step, incarnation, key, at, 1_000_000, FINGERPRINT), FIRST_PLACE)
+        table.apply(Record(step, incarnation, key, made_at, 1_000_000, FINGERPRINT), FIRST_LOCATION)
         entry = table.entries.get(key)
         if entry is not None and entry.state is not KeyState.VOID:
             assert holders.setdefault(key, entry.incarnation) == entry.incarnation
--- a/tests/claims/test_legacy_detection.py
+++ b/tests/claims/test_legacy_detection.py
@@ -1,4 +1,4 @@
-"""A version of the program from before the claim log is found by its marker file."""
+"""Detection of a running version of the program from before the claim log, by its marker file."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 NAME = "n3"
 
 
-def test_no_marker_is_no_legacy_process(tmp_path: Path) -> None:
+def test_without_a_marker_no_legacy_process_is_found(tmp_path: Path) -> None:
     assert legacy.find_serving_process(tmp_path, NAME) is None
 
 
-def test_a_marker_of_an_ended_process_does_not_count(tmp_path: Path) -> None:
+def test_a_marker_of_an_ended_process_is_ignored(tmp_path: Path) -> None:
     markers = tmp_path / legacy.MARKER_FOLDER
     markers.mkdir()
     (markers / f"{NAME}.4194305.17").write_bytes(b"17\n")  # no such process
-    (markers / f"{NAME}.{os.getpid()}.17").write_bytes(b"17\n")  # its id is another process's by now
+    (markers / f"{NAME}.{os.getpid()}.17").write_bytes(b"17\n")  # the id was reused by another process
     assert legacy.find_serving_process(tmp_path, NAME) is None
 
 
-def test_a_marker_of_a_running_process_counts(tmp_path: Path) -> None:
+def test_a_marker_of_a_running_process_is_found(tmp_path: Path) -> None:
     markers = tmp_path / legacy.MARKER_FOLDER
     markers.mkdir()
     (markers / f"{NAME}.4194305.17").write_bytes(b"17\n")
--- a/tests/idempotency/test_key_states.py
+++ b/tests/idempotency/test_key_states.py
@@ -1,4 +1,4 @@
-"""The state machine of an idempotency key, and what follows from its states."""
+"""The state machine of an idempotency key, and the decisions that depend on its state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("before", "step", "after"),
+    ("state", "step", "next_state"),
     [
         (KeyState.UNKNOWN, Step.INTENT, KeyState.INTENDED),
         (KeyState.INTENDED, Step.CALL, KeyState.CALLING),
@@ -28,17 +28,17 @@
     ],
 )
 def test_a_step_leads_to_the_next_state_or_is_illegal(
-    before: KeyState, step: Step, after: KeyState | None
+    state: KeyState, step: Step, next_state: KeyState | None
 ) -> None:
-    if after is None:
+    if next_state is None:
         with pytest.raises(IllegalStepError):
-            states.advance(before, step)
+            states.advance(state, step)
     else:
-        assert states.advance(before, step) is after
+        assert states.advance(state, step) is next_state
 
 
 @pytest.mark.parametrize(
-    ("state", "pool_lives", "decision"),
+    ("state", "is_pool_alive", "decision"),
     [
         (KeyState.UNKNOWN, True, states.RetryDecision.RUN),
         (KeyState.VOID, False, states.RetryDecision.RUN),
@@ -52,13 +52,13 @@
     ],
 )
 def test_the_decision_on_a_duplicate_follows_from_the_state(
-    state: KeyState, pool_lives: bool, decision: states.RetryDecision
+    state: KeyState, is_pool_alive: bool, decision: states.RetryDecision
 ) -> None:
-    assert states.decide_duplicate(state, pool_lives) is decision
+    assert states.decide_duplicate(state, is_pool_alive) is decision
 
 
 @pytest.mark.parametrize(
-    ("state", "recorded_for", "asked_by", "is_allowed"),
+    ("state", "recorded_notice", "asking_notice", "is_allowed"),
     [
         (KeyState.INTENDED, 0, 4, True),
         (KeyState.CALLING, 4, 4, False),
@@ -67,8 +67,8 @@
 )
 def test_a_call_that_may_have_been_made_is_not_allowed_again(
     state: KeyState,
-    recorded_for: int,
-    asked_by: int,
+    recorded_notice: int,
+    asking_notice: int,
     is_allowed: bool,
 ) -> None:
-    assert states.call_may_be_made(state, recorded_for, asked_by) is is_allowed
+    assert states.call_may_be_made(state, recorded_notice, asking_notice) is is_allowed
--- a/tests/idempotency/test_takeover.py
+++ b/tests/idempotency/test_takeover.py
@@ -1,4 +1,4 @@
-"""Concurrent incarnations of the server on one folder of stored results, as real processes."""
+"""Concurrent incarnations of the server as real processes that share one folder of stored results."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 OTHER_KEY = TOKEN[::-1]
 
 
-def keyed(key: str = TOKEN, **more: Any) -> dict[str, Any]:
-    return {"path": "/svc/write", "HTTP_REQ_TOKEN": key, **more}
+def keyed(key: str = TOKEN, **fields: Any) -> dict[str, Any]:
+    return {"path": "/svc/write", "HTTP_REQ_TOKEN": key, **fields}
 
 
 class Site:
-    """Servers at one address, one after the other or concurrent, each with a worker pool of its own."""
+    """Successive or concurrent servers at one address, each with a worker pool of its own."""
 
     def __init__(self, tmp_path: Path, durability: str) -> None:
         self.path, self.folder = tmp_path, tmp_path / "keyed"
         self.operator = tmp_path / "operator.yaml"
         self.operator.write_text(f"keyed: {{folder: keyed, durability: {durability}}}\n")
-        self.port = 0  # that of the first server
+        self.port = 0  # chosen by the first server
         self.numbers = iter(range(1, 1_000))
 
     @contextlib.contextmanager
@@ -65,10 +65,10 @@
         return answer
 
     def started_run(self, balancer: Balancer, pool: PoolPeer, **fields: Any) -> str:
-        """The id of a keyed request that this pool was told to run.
+        """Send a keyed request until this pool is told to run it; return the id of the run.
 
-        While the disk is slow for a moment, in a recovery or at the record, the request is rejected. It is
-        then retried, as a balancer would.
+        The request is rejected if the disk is slow during recovery or while the start is recorded. It is then
+        retried, as a balancer would do.
         """
         while True:
             self.send(balancer, **fields)
@@ -79,22 +79,24 @@
             assert balancer.answer()[1].status == 503
 
     def run(self, balancer: Balancer, pool: PoolPeer, result: bytes, **fields: Any) -> None:
-        """A keyed request that this pool runs, with this result."""
+        """Send a keyed request, have this pool run it with this result, and check the answer."""
         pool.notice("finished", self.started_run(balancer, pool, **fields), "fine", result)
         assert balancer.answer()[1].body == result
 
     def hand_over(self, old: subprocess.Popen[str]) -> None:
-        """Once a second server is ready, have the first one hand over to it."""
+        """Wait until a second server is ready, then have the first one hand over to it."""
         incarnations = Incarnations(self.folder / "cairnvane-lives")
         incarnations.number = 0
-        while sum(incarnations.status(life) == (Liveness.ALIVE, True) for life in incarnations.others()) < 2:
+        while (
+            sum(incarnations.status(number) == (Liveness.ALIVE, True) for number in incarnations.others()) < 2
+        ):
             time.sleep(0.01)
         old.terminate()
         lines = self.wait_for_log(old, "takes no more connections")
         assert any("hands over" in line for line in lines), lines
 
     def wait_for_log(self, process: subprocess.Popen[str], text: str) -> list[str]:
-        """Wait until the server logs this; returns the lines before."""
+        """Wait until the server logs this text; return the lines before."""
         assert process.stderr is not None
         lines: list[str] = []
         while text not in (line := process.stderr.readline()):
@@ -103,7 +105,7 @@
         return lines
 
     def delete_claims(self) -> None:
-        """Delete the claim logs, so that only the durable log is left."""
+        """Delete the files of the claim logs, so that only the durable log is left."""
         for path in self.folder.glob(f"{LEDGER}*/*"):
             path.unlink()
 
@@ -118,34 +120,34 @@
 
 
 def test_a_new_version_serves_concurrently_with_the_owner_of_the_folder(site: Site) -> None:
-    """Guards: with stored results, a second process ended at once, since the first one owned the folder."""
+    """Guards against a second process that ends at once because the first one owns the folder of results."""
     with site.server() as (old, pool):
-        before = site.balancer()
-        site.run(before, pool, b"of the old one", **keyed())
-        open_run = site.started_run(before, pool, **keyed("ab" * 16))
-        with site.server() as (new, its_pool):
-            site.hand_over(old)  # which completes what it has
-            after = site.balancer()
-            assert site.served(after, **keyed()).body == b"of the old one"
-            assert site.served(after, **keyed(body=b"forged")).status == 500
-            site.run(after, its_pool, b"of the new one", **keyed(OTHER_KEY))
-            number = site.send(after, **keyed("ab" * 16))  # which the old one still runs
+        old_balancer = site.balancer()
+        site.run(old_balancer, pool, b"of the old one", **keyed())
+        open_run = site.started_run(old_balancer, pool, **keyed("ab" * 16))
+        with site.server() as (new, new_pool):
+            site.hand_over(old)  # it completes the requests that it has
+            new_balancer = site.balancer()
+            assert site.served(new_balancer, **keyed()).body == b"of the old one"
+            assert site.served(new_balancer, **keyed(body=b"forged")).status == 500
+            site.run(new_balancer, new_pool, b"of the new one", **keyed(OTHER_KEY))
+            number = site.send(new_balancer, **keyed("ab" * 16))  # the old server still runs it
             pool.notice("finished", open_run, "fine", b"at last")
-            assert before.answer()[1].body == b"at last"
-            answered, answer = after.answer()
+            assert old_balancer.answer()[1].body == b"at last"
+            answered, answer = new_balancer.answer()
             assert (answered, answer.status, answer.body) == (number, 200, b"at last")
             assert old.wait(WAIT_S) == 0
             site.wait_for_ownership(new)
-            assert site.served(after, **keyed()).body == b"of the old one"
-            assert site.served(after, **keyed(OTHER_KEY)).body == b"of the new one"
+            assert site.served(new_balancer, **keyed()).body == b"of the old one"
+            assert site.served(new_balancer, **keyed(OTHER_KEY)).body == b"of the new one"
             new.kill()
             new.wait()
     site.delete_claims()
-    with site.server() as (_, last_pool):  # from the log alone
-        again = site.balancer()
-        assert site.served(again, **keyed(OTHER_KEY)).body == b"of the new one"
-        assert site.served(again, **keyed("ab" * 16)).body == b"at last"
-        # the run whose end nobody knows may be cancelled; none is started
+    with site.server() as (_, last_pool):  # it reads the durable log only
+        last_balancer = site.balancer()
+        assert site.served(last_balancer, **keyed(OTHER_KEY)).body == b"of the new one"
+        assert site.served(last_balancer, **keyed("ab" * 16)).body == b"at last"
+        # the run with an unknown end may be cancelled, but no run is started
         assert "spawn" not in [command["action"] for command in list(last_pool.commands.queue)]
 
 
@@ -154,32 +156,32 @@
         balancer = site.balancer()
         site.run(balancer, pool, b"long ago", **keyed())
     site.delete_claims()
-    with site.server() as (old, _), site.server() as (new, its_pool):
-        old.send_signal(signal.SIGSTOP)  # it keeps the folder, and answers nobody
+    with site.server() as (old, _), site.server() as (new, new_pool):
+        old.send_signal(signal.SIGSTOP)  # it still owns the folder, but answers no request
         try:
             answers = []
-            for _ in range(8):  # some connections go to the stopped server, and wait
-                after = site.balancer()
-                site.send(after, **keyed())
-                after.sock.settimeout(0.5)
+            for _ in range(8):  # some connections reach the stopped server, and wait
+                new_balancer = site.balancer()
+                site.send(new_balancer, **keyed())
+                new_balancer.sock.settimeout(0.5)
                 with contextlib.suppress(TimeoutError):
-                    answers.append(after.answer()[1].body)
+                    answers.append(new_balancer.answer()[1].body)
             assert answers and set(answers) == {b"long ago"}
-            assert its_pool.commands.empty() and new.poll() is None
+            assert new_pool.commands.empty() and new.poll() is None
         finally:
             old.send_signal(signal.SIGCONT)
 
 
 @pytest.mark.parametrize("killed_first", ["the owner", "the concurrent one"])
-def test_a_killed_server_leaves_what_it_answered_to_the_others(site: Site, killed_first: str) -> None:
+def test_results_of_a_killed_server_are_replayed_by_the_others(site: Site, killed_first: str) -> None:
     with site.server() as (old, pool):
-        before = site.balancer()
-        site.run(before, pool, b"of the old one", **keyed())
-        with site.server() as (new, its_pool):
+        old_balancer = site.balancer()
+        site.run(old_balancer, pool, b"of the old one", **keyed())
+        with site.server() as (new, new_pool):
             site.hand_over(old)
-            after = site.balancer()
-            site.run(after, its_pool, b"of the new one", **keyed(OTHER_KEY))
-            site.started_run(after, its_pool, **keyed("ab" * 16))  # and is killed during a run
+            new_balancer = site.balancer()
+            site.run(new_balancer, new_pool, b"of the new one", **keyed(OTHER_KEY))
+            site.started_run(new_balancer, new_pool, **keyed("ab" * 16))  # the kill interrupts it
             if killed_first == "the owner":
                 old.kill()
                 old.wait()
@@ -189,29 +191,34 @@
         old.kill()
         old.wait()
     with site.server() as (_, last_pool):
-        again = site.balancer()
-        assert site.served(again, **keyed()).body == b"of the old one"
-        assert site.served(again, **keyed(OTHER_KEY)).body == b"of the new one"
-        assert site.served(again, **keyed("ab" * 16)).status == 500  # nobody knows its end
-        # the run whose end nobody knows may be cancelled; none is started
+        last_balancer = site.balancer()
+        assert site.served(last_balancer, **keyed()).body == b"of the old one"
+        assert site.served(last_balancer, **keyed(OTHER_KEY)).body == b"of the new one"
+        assert site.served(last_balancer, **keyed("ab" * 16)).status == 500  # its end is unknown
+        # the run with an unknown end may be cancelled, but no run is started
         assert "spawn" not in [command["action"] for command in list(last_pool.commands.queue)]
 
 
 def test_the_claim_log_of_another_boot_is_transferred_to_the_durable_log(site: Site) -> None:
-    """A power cut while a server ran concurrently with the owner: only the claim log has what it answered."""
+    """Guards against losing results that only the claim log has.
+
+    This happens if the power is cut while a server runs concurrently with the owner of the folder.
+    """
     key = bytes.fromhex(TOKEN)
     open_key = bytes.fromhex(OTHER_KEY)
     request_fingerprint = fingerprint("write", b"x")
     claim_log = site.folder / f"{LEDGER}0badb007"
     claim_log.mkdir(parents=True)
-    at = 9_000_000_000_000  # of a clock that ran for months
-    expires_at = at + 60_000_000
+    claimed_at = 9_000_000_000_000  # on a clock that has run for months
+    expires_at = claimed_at + 60_000_000
     records = [
-        Record(Step.INTENT, 5, key, at, expires_at, request_fingerprint),
-        Record(Step.INTENT, 5, open_key, at, expires_at, request_fingerprint),
-        Record(Step.RESULT, 5, key, at + 1, expires_at, request_fingerprint + b"before the cut"),
+        Record(Step.INTENT, 5, key, claimed_at, expires_at, request_fingerprint),
+        Record(Step.INTENT, 5, open_key, claimed_at, expires_at, request_fingerprint),
+        Record(Step.RESULT, 5, key, claimed_at + 1, expires_at, request_fingerprint + b"before the cut"),
     ]
-    (claim_log / "0000000001.ledger").write_bytes(b"".join(encode(*one) for one in records) + bytes(4_096))
+    (claim_log / "0000000001.ledger").write_bytes(
+        b"".join(encode(*record) for record in records) + bytes(4_096)
+    )
     with site.server() as (_, pool):
         balancer = site.balancer()
         assert site.served(balancer, **keyed()).body == b"before the cut"
@@ -224,7 +231,7 @@
 
 
 def test_no_server_runs_concurrently_with_an_owner_that_writes_no_claims(site: Site) -> None:
-    """An earlier version of the program would not know of the runs of this one."""
+    """Guards against running beside an earlier version, which can't see the runs of this one."""
     site.folder.mkdir()
     files = OsFiles(site.folder)
     files.lock()
