--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -94,7 +94,7 @@
                 power=power,
                 disk_bytes=64 << 20,
                 memory_bytes=8 << 20,
-                unread=UNREAD,
+                max_read_delay_us=UNREAD,
             )
             store.check()
             ready = threading.Semaphore(0)
--- a/benchmarks/rivals.py
+++ b/benchmarks/rivals.py
@@ -27,7 +27,9 @@
     def __init__(self, folder: Path, power: bool, entries: int = 1_000) -> None:
         self.now = time.monotonic_ns() // 1_000
         owner = segment_log.Owner("bench", bytes(16))
-        self.log = segment_log.SegmentLog(OsFiles(folder), owner, most_disk=HUGE, power=power, unread=0)
+        self.log = segment_log.SegmentLog(
+            OsFiles(folder), owner, most_disk=HUGE, power=power, max_read_delay_us=0
+        )
         self.index = Index(entries * BYTES_PER_ENTRY)
         self.log.recover(self.index, self.now)
         self.open = len(self.index)
--- a/cairnvane/idempotency/durable/compaction.py
+++ b/cairnvane/idempotency/durable/compaction.py
@@ -35,7 +35,7 @@
         now: int,
         *,
         power: bool,
-        unread: int,
+        max_read_delay_us: int,
         report_step: Callable[[str], None],
     ) -> None:
         """`segments` is the log's table; `number` is the segment that is rewritten."""
@@ -46,7 +46,7 @@
         self._number = number
         self._now = now
         self._power = power
-        self._unread = unread
+        self._max_read_delay_us = max_read_delay_us
         self._report_step = report_step
         self._name = segment_name(number)
         self._temporary = self._name + TEMPORARY
@@ -110,7 +110,7 @@
         """The word of a record in the index, `_NOT_INDEXED`, or None if the record no longer counts."""
         if step is Step.LINK:
             return _NOT_INDEXED
-        if until + self._unread <= self._now:
+        if until + self._max_read_delay_us <= self._now:
             return None
         if step in (Step.RESULT, Step.FAULT):
             return self._indexed_word(key, offset)
--- a/cairnvane/idempotency/durable/recovery.py
+++ b/cairnvane/idempotency/durable/recovery.py
@@ -60,14 +60,14 @@
     Raises `IndexFullError` if more keys are within their window than the index has room for.
     """
 
-    def __init__(self, index: Index, boot: bytes, unread: int, now: int) -> None:
+    def __init__(self, index: Index, boot: bytes, max_read_delay_us: int, now: int) -> None:
         self.counts = Counts()
         self.runs: dict[bytes, Run] = {}
         self.pos = 0  # notices up to this one have had their effect recorded
         self.pool_started: int | None = None  # when the last worker pool started; None: there was none
         self._index = index
         self._boot = boot
-        self._unread = unread
+        self._max_read_delay_us = max_read_delay_us
         self._now = now
         self._never_started: set[bytes] = set()  # keys whose run provably never started
         self._indexed_by_end: dict[int, int] = {}  # number of keys by the step in which they expire
@@ -88,7 +88,7 @@
         found = self._index.get(key)
         if found is None:
             return KeyState.UNKNOWN
-        is_current = self._index.is_before_end(found.end_tick, self._now - self._unread)
+        is_current = self._index.is_before_end(found.end_tick, self._now - self._max_read_delay_us)
         return places.unpack_state(found.word) if is_current else KeyState.AGED
 
     def read(
@@ -109,7 +109,7 @@
         get = self._index.get
         put = self._index.put
         finished = places.pack_word(segment.number, 0, 0, KeyState.FINISHED)
-        oldest = self._now - self._unread
+        oldest = self._now - self._max_read_delay_us
         pos = self.pos
         ends = 0
         end = records.HEADER_BYTES
@@ -160,7 +160,7 @@
         if kind == LINK:
             self._linked(payload)
             return
-        if until + self._unread <= self._now:
+        if until + self._max_read_delay_us <= self._now:
             self.counts.aged += 1
             self.runs.pop(key, None)
             return
--- a/cairnvane/idempotency/durable/retention.py
+++ b/cairnvane/idempotency/durable/retention.py
@@ -84,7 +84,7 @@
     return now - segment.begun_at >= max(MIN_SEGMENT_AGE_US, window // WINDOW_PARTS)
 
 
-def droppable(segments: Iterable[Segment], unread: int, now: int) -> list[int]:
+def droppable(segments: Iterable[Segment], max_read_delay_us: int, now: int) -> list[int]:
     """The oldest segments in which every key has expired.
 
     An expired segment behind one that is not stays: it may hold the end of a run whose start record stands
@@ -92,7 +92,7 @@
     """
     numbers = []
     for segment in segments:
-        if segment.last_expiry + unread > now:
+        if segment.last_expiry + max_read_delay_us > now:
             break
         numbers.append(segment.number)
     return numbers
--- a/cairnvane/idempotency/durable/segment_log.py
+++ b/cairnvane/idempotency/durable/segment_log.py
@@ -38,20 +38,21 @@
         *,
         most_disk: int,
         power: bool,
-        unread: int,
+        max_read_delay_us: int,
         points: Callable[[str], None] = _ignore_step,
     ) -> None:
         """A log that takes up to `most_disk` bytes.
 
-        `power`: synced records survive a power cut. `unread`: how many microseconds later than it arrived a
-        duplicate may be read. `points` is called with the name of each step of the work on segments.
+        `power`: synced records survive a power cut. `max_read_delay_us`: the longest time between the arrival
+        of a duplicate and its being read. `points` is called with the name of each step of the work on
+        segments.
         """
         self.segments: dict[int, Segment] = {}  # oldest first
         self.report = Report()
         self._files = files
         self._owner = owner
         self._power = power
-        self._unread = unread
+        self._max_read_delay_us = max_read_delay_us
         self._most_disk = most_disk
         self._report_step = points
         self._start_records = StartRecords()
@@ -82,7 +83,7 @@
         """Read all segments into the index. What is torn at their ends is cut off."""
         self.report = Report()
         self.segments.clear()
-        recovery = Recovery(index, self._owner.boot, self._unread, now)
+        recovery = Recovery(index, self._owner.boot, self._max_read_delay_us, now)
         for name in self._files.names():
             if name.endswith(TEMPORARY) and segment_number(name.removesuffix(TEMPORARY)) is not None:
                 self._files.remove(name)  # of a compaction that did not complete
@@ -163,7 +164,7 @@
 
     def drop(self, now: int) -> int:
         """Delete the segments in which no record counts any more; returns their number."""
-        numbers = retention.droppable(self._closed_segments(), self._unread, now)
+        numbers = retention.droppable(self._closed_segments(), self._max_read_delay_us, now)
         for number in numbers:
             self._files.remove(segment_name(number))
             self._report_step("drop")
@@ -173,7 +174,7 @@
     def first_drop(self, now: int) -> int | None:
         """In how many microseconds the oldest segment can be dropped."""
         oldest = next(iter(self.segments.values()), None)
-        return None if oldest is None else max(0, oldest.last_expiry + self._unread - now)
+        return None if oldest is None else max(0, oldest.last_expiry + self._max_read_delay_us - now)
 
     def compact_step(self, index: Index, now: int) -> bool:
         """Continue a compaction, or begin one if it is worth it; False if there is nothing to do."""
@@ -198,7 +199,7 @@
             number,
             now,
             power=self._power,
-            unread=self._unread,
+            max_read_delay_us=self._max_read_delay_us,
             report_step=self._report_step,
         )
         yield from compaction.run()
--- a/cairnvane/idempotency/durable/space_maintenance.py
+++ b/cairnvane/idempotency/durable/space_maintenance.py
@@ -16,11 +16,11 @@
 class SpaceMaintenance:
     """Reclaims memory and disk space."""
 
-    def __init__(self, state: StoreState, is_idle: Callable[[], bool], *, unread: int) -> None:
+    def __init__(self, state: StoreState, is_idle: Callable[[], bool], *, max_read_delay_us: int) -> None:
         """`is_idle`: no message waits for the writer; compaction goes on only while that holds."""
         self._state = state
         self._is_idle = is_idle
-        self._unread = unread
+        self._max_read_delay_us = max_read_delay_us
         self._last_run = 0
 
     def run(self, now: int) -> None:
@@ -30,7 +30,7 @@
             return
         self._last_run = now
         with state.lock:
-            state.index.expire(now - self._unread)
+            state.index.expire(now - self._max_read_delay_us)
         try:
             state.log.drop(now)
             while state.log.compact_step(state.index, now) and self._is_idle():
--- a/cairnvane/idempotency/durable/state.py
+++ b/cairnvane/idempotency/durable/state.py
@@ -23,9 +23,9 @@
     """
 
     def __init__(
-        self, index: Index, log: SegmentLog, *, most_disk: int, most_queued: int, unread: int
+        self, index: Index, log: SegmentLog, *, most_disk: int, most_queued: int, max_read_delay_us: int
     ) -> None:
-        """Bounds in bytes; `unread` is how much later than it arrived a duplicate may be read."""
+        """`most_disk` and `most_queued` are in bytes; `max_read_delay_us`: see `DurableStore`."""
         self.lock = threading.Lock()
         self.index = index
         self.log = log
@@ -39,7 +39,7 @@
         self.writing_since = 0  # 0: nothing is being written
         self._most_disk = most_disk
         self._most_queued = most_queued
-        self._unread = unread
+        self._max_read_delay_us = max_read_delay_us
 
     def capacity_wait_us(self) -> int:
         """Microseconds until one more key can be stored; 0: now."""
@@ -53,7 +53,7 @@
                 writing_for=now - since if since else 0,
                 entries=len(self.index),
                 most_entries=self.index.capacity,
-                first_end=None if first_end is None else first_end + self._unread,
+                first_end=None if first_end is None else first_end + self._max_read_delay_us,
                 open_keys=self.open_keys,
                 disk=self.disk_bytes,
                 most_disk=self._most_disk,
--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -54,13 +54,13 @@
         power: bool,
         disk_bytes: int,
         memory_bytes: int,
-        unread: int,
+        max_read_delay_us: int,
         points: StepObserver | None = None,
     ) -> None:
         """A store of instance `name` in a folder, under the machine's boot id `boot`.
 
-        `power`: results survive a power cut. `unread`: how many microseconds later than it arrived a
-        duplicate may be read. `points` is called with the name of each step.
+        `power`: results survive a power cut. `max_read_delay_us`: the longest time between the arrival of a
+        duplicate and its being read. `points` is called with the name of each step.
         """
         most_queued = int(retention.QUEUE_SHARE * memory_bytes)
         index_bytes = memory_bytes - most_queued
@@ -73,18 +73,29 @@
 
         def new_log(log_files: Files) -> SegmentLog:
             return SegmentLog(
-                log_files, owner, most_disk=disk_bytes, power=power, unread=unread, points=steps.report
+                log_files,
+                owner,
+                most_disk=disk_bytes,
+                power=power,
+                max_read_delay_us=max_read_delay_us,
+                points=steps.report,
             )
 
         self._files = files
         self._instance_name = name
         self._state = StoreState(
-            new_index(), new_log(files), most_disk=disk_bytes, most_queued=most_queued, unread=unread
+            new_index(),
+            new_log(files),
+            most_disk=disk_bytes,
+            most_queued=most_queued,
+            max_read_delay_us=max_read_delay_us,
         )
         retry = DiskRetry(self._state, stop)
         recovery = FolderRecovery(files, self._state, retry, steps, stop, new_index, new_log)
         groups = GroupWriter(self._state, retry, steps, power=power)
-        self._writer = StoreWriter(files, self._state, recovery, groups, stop, unread=unread)
+        self._writer = StoreWriter(
+            files, self._state, recovery, groups, stop, max_read_delay_us=max_read_delay_us
+        )
 
     def check(self, beside: bool = False) -> None:
         """Lock the folder; `FolderError` if it is another instance's or, unless `beside`, another process's.
--- a/cairnvane/idempotency/durable/verify.py
+++ b/cairnvane/idempotency/durable/verify.py
@@ -17,7 +17,7 @@
 # How many keys a folder holds is not known before it is read. Memory is touched only as the index fills.
 _INDEX_BYTES = 4_000_000 * BYTES_PER_ENTRY
 # How much later than it arrived a duplicate may be read, where no settings say so.
-UNREAD_US = 60_000_000
+MAX_READ_DELAY_US = 60_000_000
 
 
 @dataclass(slots=True)
@@ -153,7 +153,13 @@
     try:
         now = clock.now()
         index = Index(_INDEX_BYTES)
-        log = SegmentLog(files, Owner(first.name, boot_id()), most_disk=1 << 40, power=True, unread=UNREAD_US)
+        log = SegmentLog(
+            files,
+            Owner(first.name, boot_id()),
+            most_disk=1 << 40,
+            power=True,
+            max_read_delay_us=MAX_READ_DELAY_US,
+        )
         log.recover(index, now)
         before = log.size
         log.drop(now)
--- a/cairnvane/idempotency/durable/writer.py
+++ b/cairnvane/idempotency/durable/writer.py
@@ -45,7 +45,7 @@
         groups: GroupWriter,
         stop: threading.Event,
         *,
-        unread: int,
+        max_read_delay_us: int,
     ) -> None:
         self._files = files
         self._state = state
@@ -53,7 +53,7 @@
         self._groups = groups
         self._stop = stop
         self._queue: SimpleQueue[Message] = SimpleQueue()
-        self._maintenance = SpaceMaintenance(state, self._queue.empty, unread=unread)
+        self._maintenance = SpaceMaintenance(state, self._queue.empty, max_read_delay_us=max_read_delay_us)
         self._thread = threading.Thread(target=self._run, name="store-writer", daemon=True)
 
     def start(self, callbacks: StoreCallbacks) -> None:
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -131,7 +131,7 @@
         power=survives_power_loss,
         disk_bytes=keyed.disk_bytes,
         memory_bytes=keyed.memory_bytes,
-        unread=_max_client_timeout(configuration),
+        max_read_delay_us=_max_client_timeout(configuration),
         points=step_observer,
     )
     try:
--- a/tests/durable_log_driver.py
+++ b/tests/durable_log_driver.py
@@ -15,7 +15,7 @@
 
 SECOND_US = 1_000_000
 WINDOW_US = 8 * SECOND_US  # how long a key counts
-UNREAD_US = 2 * SECOND_US  # how much later than it arrived a duplicate may be read
+MAX_READ_DELAY_US = 2 * SECOND_US  # how much later than it arrived a duplicate may be read
 FINGERPRINT = bytes(range(16))
 BOOTS = [bytes([number]) * 16 for number in range(4)]
 
@@ -46,7 +46,11 @@
     def __post_init__(self) -> None:
         self.index = Index(1 << 16)
         self.log = SegmentLog(
-            self.disk, Owner("n1", self.boot), most_disk=1 << 20, power=True, unread=UNREAD_US
+            self.disk,
+            Owner("n1", self.boot),
+            most_disk=1 << 20,
+            power=True,
+            max_read_delay_us=MAX_READ_DELAY_US,
         )
         self.recovered = self.log.recover(self.index, self.now).conclude()
 
@@ -78,7 +82,7 @@
     def pass_time(self, by: int) -> None:
         """Advance the clock, and drop what has expired."""
         self.now += by
-        self.index.expire(self.now - UNREAD_US)
+        self.index.expire(self.now - MAX_READ_DELAY_US)
         self.log.drop(self.now)
 
     def compact(self, all_: bool = True) -> None:
--- a/tests/durable_servers.py
+++ b/tests/durable_servers.py
@@ -61,7 +61,7 @@
             power=self.power,
             disk_bytes=self.disk_bytes,
             memory_bytes=1 << 20,
-            unread=9_000_000,
+            max_read_delay_us=9_000_000,
             points=self._step,
         )
         if self.entries is not None:
--- a/tests/idempotency/test_durable_log.py
+++ b/tests/idempotency/test_durable_log.py
@@ -9,8 +9,8 @@
 from durable_log_driver import (
     BOOTS,
     FINGERPRINT,
+    MAX_READ_DELAY_US,
     SECOND_US,
-    UNREAD_US,
     WINDOW_US,
     Driver,
     check_recovery,
@@ -143,14 +143,14 @@
     driver, name, data = segment()
     for boot, now, counts in [
         (BOOTS[0], driver.now + WINDOW_US - SECOND_US, True),
-        (BOOTS[0], driver.now + WINDOW_US + UNREAD_US + SECOND_US, False),
+        (BOOTS[0], driver.now + WINDOW_US + MAX_READ_DELAY_US + SECOND_US, False),
         (BOOTS[1], 1, True),
         (BOOTS[1], driver.now * 50, True),
     ]:
         after = Driver(Disk({name: data}), boot, now)
         assert (after.index.get(key(1)) is not None) is counts
-    late = after.now + WINDOW_US + UNREAD_US + SECOND_US
-    after.index.expire(late - UNREAD_US)
+    late = after.now + WINDOW_US + MAX_READ_DELAY_US + SECOND_US
+    after.index.expire(late - MAX_READ_DELAY_US)
     assert after.index.get(key(1)) is None  # but it does expire once its time is counted again
 
 
--- a/tests/idempotency/test_durable_notices.py
+++ b/tests/idempotency/test_durable_notices.py
@@ -105,7 +105,9 @@
     """Guards: both count from 1, and a late record of the one let the other's notice pass for recorded."""
     disk = Disk()
     recovered = threading.Event()
-    store = DurableStore(disk, "n1", BOOT, power=False, disk_bytes=8 << 20, memory_bytes=1 << 20, unread=1)
+    store = DurableStore(
+        disk, "n1", BOOT, power=False, disk_bytes=8 << 20, memory_bytes=1 << 20, max_read_delay_us=1
+    )
     store.start(lambda state: recovered.set(), lambda: None, lambda cause: None)
     assert recovered.wait(WAIT_S)
     disk.gate.clear()
--- a/tests/idempotency/test_kills_at_every_step.py
+++ b/tests/idempotency/test_kills_at_every_step.py
@@ -33,7 +33,7 @@
         self.claim_log = ClaimLog(folder, self.incarnations, UNREAD)
         self.claim_log.open()
         store = DurableStore(
-            disk, "n1", BOOT, power=False, disk_bytes=8 << 20, memory_bytes=1 << 20, unread=UNREAD
+            disk, "n1", BOOT, power=False, disk_bytes=8 << 20, memory_bytes=1 << 20, max_read_delay_us=UNREAD
         )
         self.store = TakeoverStore(store, self.claim_log, path, folder.path, power=False)
         self.expires_at: dict[bytes, int] = {}
--- a/tests/recordings/test_golden_folders.py
+++ b/tests/recordings/test_golden_folders.py
@@ -94,7 +94,9 @@
 def _write_log(folder: Path) -> None:
     files = OsFiles(folder)
     files.make()
-    log = SegmentLog(files, Owner(INSTANCE, BOOT), most_disk=MOST_DISK, power=False, unread=UNREAD_US)
+    log = SegmentLog(
+        files, Owner(INSTANCE, BOOT), most_disk=MOST_DISK, power=False, max_read_delay_us=UNREAD_US
+    )
     log.recover(Index(INDEX_BYTES), START_US)
     link = keyed_record.encode_link(START_US - SECOND_US)
     log.append([Entry(Step.LINK, keyed_record.NO_KEY, START_US, START_US, link)], UNIX_MS)
@@ -227,7 +229,7 @@
 def recovered_log(folder: Path, boot: bytes) -> dict[str, Any]:
     """All that a life that starts at a fixed time takes up from a log; what is torn is cut off."""
     log = SegmentLog(
-        OsFiles(folder), Owner(INSTANCE, boot), most_disk=MOST_DISK, power=False, unread=UNREAD_US
+        OsFiles(folder), Owner(INSTANCE, boot), most_disk=MOST_DISK, power=False, max_read_delay_us=UNREAD_US
     )
     index = Index(INDEX_BYTES)
     recovery = log.recover(index, RECOVERED_AT_US)
@@ -355,7 +357,11 @@
 def test_a_recorded_log_is_written_on(folders: Path) -> None:
     """What is appended to an old folder is recovered beside what was there."""
     log = SegmentLog(
-        OsFiles(folders / "log"), Owner(INSTANCE, BOOT), most_disk=MOST_DISK, power=False, unread=UNREAD_US
+        OsFiles(folders / "log"),
+        Owner(INSTANCE, BOOT),
+        most_disk=MOST_DISK,
+        power=False,
+        max_read_delay_us=UNREAD_US,
     )
     log.recover(Index(INDEX_BYTES), RECOVERED_AT_US)
     number, until = TOKENS + 1, RECOVERED_AT_US + WINDOW_US
