--- a/cairnvane/idempotency/durable/segment_log.py
+++ b/cairnvane/idempotency/durable/segment_log.py
@@ -39,12 +39,12 @@
         most_disk: int,
         power: bool,
         max_read_delay_us: int,
-        points: Callable[[str], None] = _ignore_step,
+        report_step: Callable[[str], None] = _ignore_step,
     ) -> None:
         """A log that takes up to `most_disk` bytes.
 
         `power`: synced records survive a power cut. `max_read_delay_us`: the longest time between the arrival
-        of a duplicate and its being read. `points` is called with the name of each step of the work on
+        of a duplicate and its being read. `report_step` is called with the name of each step of the work on
         segments.
         """
         self.segments: dict[int, Segment] = {}  # oldest first
@@ -54,7 +54,7 @@
         self._power = power
         self._max_read_delay_us = max_read_delay_us
         self._most_disk = most_disk
-        self._report_step = points
+        self._report_step = report_step
         self._start_records = StartRecords()
         self._appender = SegmentAppender(
             files,
@@ -63,7 +63,7 @@
             self._start_records,
             most_disk=most_disk,
             power=power,
-            report_step=points,
+            report_step=report_step,
         )
         self._compaction: Generator[None, None, None] | None = None
 
--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -55,17 +55,17 @@
         disk_bytes: int,
         memory_bytes: int,
         max_read_delay_us: int,
-        points: StepObserver | None = None,
+        step_observer: StepObserver | None = None,
     ) -> None:
         """A store of instance `name` in a folder, under the machine's boot id `boot`.
 
         `power`: results survive a power cut. `max_read_delay_us`: the longest time between the arrival of a
-        duplicate and its being read. `points` is called with the name of each step.
+        duplicate and its being read. `step_observer` is called with the name of each step.
         """
         most_queued = int(retention.QUEUE_SHARE * memory_bytes)
         index_bytes = memory_bytes - most_queued
         owner = Owner(name, boot)
-        steps = StepReporter(points)
+        steps = StepReporter(step_observer)
         stop = threading.Event()
 
         def new_index() -> Index:
@@ -78,7 +78,7 @@
                 most_disk=disk_bytes,
                 power=power,
                 max_read_delay_us=max_read_delay_us,
-                points=steps.report,
+                report_step=steps.report,
             )
 
         self._files = files
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -132,7 +132,7 @@
         disk_bytes=keyed.disk_bytes,
         memory_bytes=keyed.memory_bytes,
         max_read_delay_us=_max_client_timeout(configuration),
-        points=step_observer,
+        step_observer=step_observer,
     )
     try:
         store.check(beside=incarnations is not None and not incarnations.is_alone())
--- a/tests/durable_servers.py
+++ b/tests/durable_servers.py
@@ -62,7 +62,7 @@
             disk_bytes=self.disk_bytes,
             memory_bytes=1 << 20,
             max_read_delay_us=9_000_000,
-            points=self._step,
+            step_observer=self._step,
         )
         if self.entries is not None:
             store._state.index = Index(self.entries * BYTES_PER_ENTRY)
