--- a/benchmarks/rivals.py
+++ b/benchmarks/rivals.py
@@ -28,7 +28,7 @@
         self.now = time.monotonic_ns() // 1_000
         owner = segment_log.Owner("bench", bytes(16))
         self.log = segment_log.SegmentLog(
-            OsFiles(folder), owner, most_disk=HUGE, power=power, max_read_delay_us=0
+            OsFiles(folder), owner, max_disk_bytes=HUGE, power=power, max_read_delay_us=0
         )
         self.index = Index(entries * BYTES_PER_ENTRY)
         self.log.recover(self.index, self.now)
--- a/cairnvane/idempotency/durable/appender.py
+++ b/cairnvane/idempotency/durable/appender.py
@@ -54,7 +54,7 @@
         segments: dict[int, Segment],
         start_records: StartRecords,
         *,
-        most_disk: int,
+        max_disk_bytes: int,
         power: bool,
         report_step: Callable[[str], None],
     ) -> None:
@@ -65,7 +65,7 @@
         self._owner = owner
         self._segments = segments
         self._start_records = start_records
-        self._segment_bytes = retention.segment_bytes(most_disk)
+        self._segment_bytes = retention.segment_bytes(max_disk_bytes)
         self._power = power
         self._report_step = report_step
         self._longest_window = 0  # how long a key counts, at the most seen so far
--- a/cairnvane/idempotency/durable/retention.py
+++ b/cairnvane/idempotency/durable/retention.py
@@ -70,9 +70,9 @@
         return min(self.size, self.superseded_bytes + aged)
 
 
-def segment_bytes(most_disk: int) -> int:
+def segment_bytes(max_disk_bytes: int) -> int:
     """How large a segment may grow, for a bound on disk space."""
-    return max(MIN_SEGMENT_BYTES, min(MAX_SEGMENT_BYTES, most_disk // SEGMENTS))
+    return max(MIN_SEGMENT_BYTES, min(MAX_SEGMENT_BYTES, max_disk_bytes // SEGMENTS))
 
 
 def is_full(segment: Segment, more: int, most: int, window: int, now: int) -> bool:
@@ -98,9 +98,9 @@
     return numbers
 
 
-def to_compact(segments: Sequence[Segment], most_disk: int, now: int) -> int | None:
+def to_compact(segments: Sequence[Segment], max_disk_bytes: int, now: int) -> int | None:
     """The segment whose compaction frees the most, if space is wanted; None if none is worth it."""
-    if sum(segment.size for segment in segments) <= COMPACT_ABOVE * most_disk:
+    if sum(segment.size for segment in segments) <= COMPACT_ABOVE * max_disk_bytes:
         return None
     best = max(segments, key=lambda segment: segment.dead_bytes(now), default=None)
     if best is None or best.dead_bytes(now) < COMPACT_DEAD * best.size:
@@ -116,29 +116,29 @@
     failing: bool  # the last write failed
     writing_for: int  # how long the current write has taken
     entries: int
-    most_entries: int
+    max_entries: int
     first_end: int | None  # in how long the oldest entry expires; None: there is none
     open_keys: int  # admitted, their end not recorded
     disk: int
-    most_disk: int
+    max_disk_bytes: int
     first_drop: int | None  # in how long the oldest segment is dropped; None: there is none
     queued: int  # of records on their way to the disk
-    most_queued: int
+    max_queued_bytes: int
 
 
 def wait_us(load: Load) -> int:
     """Microseconds until one more key can be stored; 0: now. An admitted key has capacity for its end."""
     if not load.ready or load.failing or load.writing_for > SLOW_US:
         return AWAY_US
-    if load.queued > load.most_queued:
+    if load.queued > load.max_queued_bytes:
         return BUSY_AWAY_US
     waits = [0]
-    if load.entries + load.open_keys >= load.most_entries:
+    if load.entries + load.open_keys >= load.max_entries:
         waits.append(max(BUSY_AWAY_US, load.first_end or 0))
     # The ends of the open keys and this key, in addition to a segment that is begun before an older one can
     # be dropped.
     needed = (load.open_keys + 1) * KEY_BYTES
-    if load.disk + needed > load.most_disk:
+    if load.disk + needed > load.max_disk_bytes:
         waits.append(max(BUSY_AWAY_US, load.first_drop if load.first_drop is not None else AWAY_US))
     return max(waits)
 
--- a/cairnvane/idempotency/durable/segment_log.py
+++ b/cairnvane/idempotency/durable/segment_log.py
@@ -36,12 +36,12 @@
         files: Files,
         owner: Owner,
         *,
-        most_disk: int,
+        max_disk_bytes: int,
         power: bool,
         max_read_delay_us: int,
         report_step: Callable[[str], None] = _ignore_step,
     ) -> None:
-        """A log that takes up to `most_disk` bytes.
+        """A log that takes up to `max_disk_bytes` bytes.
 
         `power`: synced records survive a power cut. `max_read_delay_us`: the longest time between the arrival
         of a duplicate and its being read. `report_step` is called with the name of each step of the work on
@@ -53,7 +53,7 @@
         self._owner = owner
         self._power = power
         self._max_read_delay_us = max_read_delay_us
-        self._most_disk = most_disk
+        self._max_disk_bytes = max_disk_bytes
         self._report_step = report_step
         self._start_records = StartRecords()
         self._appender = SegmentAppender(
@@ -61,7 +61,7 @@
             owner,
             self.segments,
             self._start_records,
-            most_disk=most_disk,
+            max_disk_bytes=max_disk_bytes,
             power=power,
             report_step=report_step,
         )
@@ -179,7 +179,7 @@
     def compact_step(self, index: Index, now: int) -> bool:
         """Continue a compaction, or begin one if it is worth it; False if there is nothing to do."""
         if self._compaction is None:
-            number = retention.to_compact(self._closed_segments(), self._most_disk, now)
+            number = retention.to_compact(self._closed_segments(), self._max_disk_bytes, now)
             if number is None:
                 return False
             self._compaction = self.compact(number, index, now)
--- a/cairnvane/idempotency/durable/state.py
+++ b/cairnvane/idempotency/durable/state.py
@@ -23,9 +23,15 @@
     """
 
     def __init__(
-        self, index: Index, log: SegmentLog, *, most_disk: int, most_queued: int, max_read_delay_us: int
+        self,
+        index: Index,
+        log: SegmentLog,
+        *,
+        max_disk_bytes: int,
+        max_queued_bytes: int,
+        max_read_delay_us: int,
     ) -> None:
-        """`most_disk` and `most_queued` are in bytes; `max_read_delay_us`: see `DurableStore`."""
+        """`max_disk_bytes` and `max_queued_bytes` are in bytes; `max_read_delay_us`: see `DurableStore`."""
         self.lock = threading.Lock()
         self.index = index
         self.log = log
@@ -37,8 +43,8 @@
         self.is_ready = False  # recovery is complete
         self.is_failing = False  # the last write failed
         self.writing_since = 0  # 0: nothing is being written
-        self._most_disk = most_disk
-        self._most_queued = most_queued
+        self._max_disk_bytes = max_disk_bytes
+        self._max_queued_bytes = max_queued_bytes
         self._max_read_delay_us = max_read_delay_us
 
     def capacity_wait_us(self) -> int:
@@ -52,14 +58,14 @@
                 failing=self.is_failing,
                 writing_for=now - since if since else 0,
                 entries=len(self.index),
-                most_entries=self.index.capacity,
+                max_entries=self.index.capacity,
                 first_end=None if first_end is None else first_end + self._max_read_delay_us,
                 open_keys=self.open_keys,
                 disk=self.disk_bytes,
-                most_disk=self._most_disk,
+                max_disk_bytes=self._max_disk_bytes,
                 first_drop=None if self.first_drop_at is None else max(0, self.first_drop_at - now),
                 queued=self.queued_bytes,
-                most_queued=self._most_queued,
+                max_queued_bytes=self._max_queued_bytes,
             )
         return retention.wait_us(load)
 
--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -62,8 +62,8 @@
         `power`: results survive a power cut. `max_read_delay_us`: the longest time between the arrival of a
         duplicate and its being read. `step_observer` is called with the name of each step.
         """
-        most_queued = int(retention.QUEUE_SHARE * memory_bytes)
-        index_bytes = memory_bytes - most_queued
+        max_queued_bytes = int(retention.QUEUE_SHARE * memory_bytes)
+        index_bytes = memory_bytes - max_queued_bytes
         owner = Owner(name, boot)
         steps = StepReporter(step_observer)
         stop = threading.Event()
@@ -75,7 +75,7 @@
             return SegmentLog(
                 log_files,
                 owner,
-                most_disk=disk_bytes,
+                max_disk_bytes=disk_bytes,
                 power=power,
                 max_read_delay_us=max_read_delay_us,
                 report_step=steps.report,
@@ -86,8 +86,8 @@
         self._state = StoreState(
             new_index(),
             new_log(files),
-            most_disk=disk_bytes,
-            most_queued=most_queued,
+            max_disk_bytes=disk_bytes,
+            max_queued_bytes=max_queued_bytes,
             max_read_delay_us=max_read_delay_us,
         )
         retry = DiskRetry(self._state, stop)
--- a/cairnvane/idempotency/durable/verify.py
+++ b/cairnvane/idempotency/durable/verify.py
@@ -156,7 +156,7 @@
         log = SegmentLog(
             files,
             Owner(first.name, boot_id()),
-            most_disk=1 << 40,
+            max_disk_bytes=1 << 40,
             power=True,
             max_read_delay_us=MAX_READ_DELAY_US,
         )
--- a/tests/durable_log_driver.py
+++ b/tests/durable_log_driver.py
@@ -48,7 +48,7 @@
         self.log = SegmentLog(
             self.disk,
             Owner("n1", self.boot),
-            most_disk=1 << 20,
+            max_disk_bytes=1 << 20,
             power=True,
             max_read_delay_us=MAX_READ_DELAY_US,
         )
--- a/tests/idempotency/test_durable_retention.py
+++ b/tests/idempotency/test_durable_retention.py
@@ -14,14 +14,14 @@
     failing=False,
     writing_for=0,
     entries=5,
-    most_entries=10,
+    max_entries=10,
     first_end=3 * SECOND_US,
     open_keys=2,
     disk=0,
-    most_disk=1 << 20,
+    max_disk_bytes=1 << 20,
     first_drop=2 * SECOND_US,
     queued=0,
-    most_queued=1_000,
+    max_queued_bytes=1_000,
 )
 
 
--- a/tests/recordings/test_golden_folders.py
+++ b/tests/recordings/test_golden_folders.py
@@ -95,7 +95,7 @@
     files = OsFiles(folder)
     files.make()
     log = SegmentLog(
-        files, Owner(INSTANCE, BOOT), most_disk=MOST_DISK, power=False, max_read_delay_us=UNREAD_US
+        files, Owner(INSTANCE, BOOT), max_disk_bytes=MOST_DISK, power=False, max_read_delay_us=UNREAD_US
     )
     log.recover(Index(INDEX_BYTES), START_US)
     link = keyed_record.encode_link(START_US - SECOND_US)
@@ -229,7 +229,11 @@
 def recovered_log(folder: Path, boot: bytes) -> dict[str, Any]:
     """All that a life that starts at a fixed time takes up from a log; what is torn is cut off."""
     log = SegmentLog(
-        OsFiles(folder), Owner(INSTANCE, boot), most_disk=MOST_DISK, power=False, max_read_delay_us=UNREAD_US
+        OsFiles(folder),
+        Owner(INSTANCE, boot),
+        max_disk_bytes=MOST_DISK,
+        power=False,
+        max_read_delay_us=UNREAD_US,
     )
     index = Index(INDEX_BYTES)
     recovery = log.recover(index, RECOVERED_AT_US)
@@ -359,7 +363,7 @@
     log = SegmentLog(
         OsFiles(folders / "log"),
         Owner(INSTANCE, BOOT),
-        most_disk=MOST_DISK,
+        max_disk_bytes=MOST_DISK,
         power=False,
         max_read_delay_us=UNREAD_US,
     )
