--- a/cairnvane/idempotency/durable/claim_transfer.py
+++ b/cairnvane/idempotency/durable/claim_transfer.py
@@ -21,7 +21,7 @@
 
 # The prefix of a claim log in the folder of the durable log. There is one for each boot of the machine:
 # times in it are of that boot's clock.
-LEDGER = "ledger."
+CLAIM_LOG_PREFIX = "ledger."
 
 
 def ignore_written() -> None:
@@ -78,7 +78,7 @@
         for key, entry, result in self._claim_log.entries():
             if not self._store.has_end(key):
                 self._transfer(key, entry, result, started)
-        for path in self._folder.glob(f"{LEDGER}*"):
+        for path in self._folder.glob(f"{CLAIM_LOG_PREFIX}*"):
             if path != self._own_path:
                 self._transfer_earlier_boot(path, started)
         return tuple(started.values())
--- a/cairnvane/idempotency/durable/takeover_store.py
+++ b/cairnvane/idempotency/durable/takeover_store.py
@@ -19,11 +19,11 @@
 from ...claims import ClaimLog
 from ..store import RecoveredState, StartedRun, StoredEntry
 from .background_tasks import BackgroundTasks
-from .claim_transfer import LEDGER, ClaimTransfer, ignore_not_started, ignore_written
+from .claim_transfer import CLAIM_LOG_PREFIX, ClaimTransfer, ignore_not_started, ignore_written
 from .deferred_records import DeferredRecords
 from .store import DurableStore
 
-__all__ = ["LEDGER", "TakeoverStore"]
+__all__ = ["CLAIM_LOG_PREFIX", "TakeoverStore"]
 
 logger = logging.getLogger(__name__)
 
@@ -37,14 +37,14 @@
     synchronous = False
 
     def __init__(
-        self, store: DurableStore, ledger: ClaimLog, folder: Path, own: Path, *, power: bool
+        self, store: DurableStore, claim_log: ClaimLog, folder: Path, own: Path, *, power: bool
     ) -> None:
         """`folder` is that of the durable log, and `own` this boot's claim log in it.
 
         `power`: results survive a power cut.
         """
         self._store = store
-        self._ledger = ledger
+        self._claim_log = claim_log
         self._power = power
         # Guards `_is_owner` and `_deferred`: the server thread writes to the durable log or defers, and the
         # writer thread takes the folder over.
@@ -52,7 +52,7 @@
         self._is_owner = False  # this process owns the folder, and all claims were transferred
         self._found_owned = False  # another process owned the folder at the start
         self._deferred = DeferredRecords()
-        self._transfer = ClaimTransfer(store, ledger, folder, own, self._deferred)
+        self._transfer = ClaimTransfer(store, claim_log, folder, own, self._deferred)
         self._tasks = BackgroundTasks("takeover-tasks")
 
     def start(
@@ -63,7 +63,7 @@
     ) -> None:
         """See `IdempotencyStore`."""
         self._recovered = recovered
-        self._ledger.start(recovered, delayed, lost)
+        self._claim_log.start(recovered, delayed, lost)
         self._tasks.start()
         self._store.start(self._folder_recovered, delayed, lost, self._folder_owned_elsewhere)
 
@@ -71,7 +71,7 @@
 
     def _folder_owned_elsewhere(self) -> bool:
         """Serve concurrently with the owner of the folder, if it writes a claim log; whether it does."""
-        if self._ledger.is_alone():
+        if self._claim_log.is_alone():
             return False
         self._found_owned = True
         logger.info("another process owns the folder: serving concurrently with it")
@@ -98,7 +98,7 @@
 
     def capacity_wait_us(self) -> int:
         """See `IdempotencyStore`."""
-        claim_wait = self._ledger.capacity_wait_us()
+        claim_wait = self._claim_log.capacity_wait_us()
         if self._found_owned and not self._is_owner:
             return claim_wait
         return max(claim_wait, self._store.capacity_wait_us())
@@ -123,7 +123,7 @@
         self, run: StartedRun, then: Callable[[], None], not_started: Callable[[bool], None], /
     ) -> None:
         """See `IdempotencyStore`. Positional only: the testbed replaces it by functions of its own."""
-        self._ledger.record_start(
+        self._claim_log.record_start(
             run,
             lambda: self._start_claimed(run, then),
             lambda is_elsewhere: self._start_prevented(not_started, is_elsewhere),
@@ -143,7 +143,7 @@
 
     def record_never_started(self, key: bytes, expires_at: int, settles: tuple[int, ...]) -> None:
         """See `IdempotencyStore`."""
-        self._ledger.record_never_started(key, expires_at, settles)
+        self._claim_log.record_never_started(key, expires_at, settles)
         with self._lock:
             if self._is_owner:
                 self._store.record_never_started(key, expires_at, settles)
@@ -170,7 +170,7 @@
         /,
     ) -> None:
         """See `IdempotencyStore`. Positional only, as `record_start`."""
-        self._ledger.record_end(key, expires_at, fingerprint, result, settles, ignore_written)
+        self._claim_log.record_end(key, expires_at, fingerprint, result, settles, ignore_written)
         with self._lock:
             if self._is_owner:
                 self._store.record_end(key, expires_at, fingerprint, result, settles, then)
@@ -199,7 +199,7 @@
         The durable log is asked first: it may know the end of a run whose incarnation has died.
         """
         stored = self._store.look_up(key, fingerprint, arrived_at)
-        return stored or self._ledger.look_up(key, fingerprint, arrived_at)
+        return stored or self._claim_log.look_up(key, fingerprint, arrived_at)
 
     def fetch_result(self, key: bytes, fingerprint: bytes, then: Callable[[bytes | None], None]) -> None:
         """See `IdempotencyStore`."""
@@ -207,7 +207,7 @@
             is_stored = self._store.has_end(key)
             can_ask_writer = self._is_owner or not self._found_owned
         if not is_stored:
-            self._ledger.fetch_result(key, fingerprint, then)
+            self._claim_log.fetch_result(key, fingerprint, then)
         elif can_ask_writer:
             self._store.fetch_result(key, fingerprint, then)
         else:
@@ -215,7 +215,7 @@
 
     def close(self) -> None:
         """See `IdempotencyStore`."""
-        self._ledger.close()
+        self._claim_log.close()
         self._store.close()
         self._tasks.stop()
 
@@ -231,7 +231,7 @@
     def _sync_claims(self, then: Callable[[], None]) -> None:
         while True:
             with contextlib.suppress(OSError):
-                self._ledger.sync()
+                self._claim_log.sync()
                 then()
                 return
             threading.Event().wait(SYNC_RETRY_S)
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -120,7 +120,7 @@
     """Open the log of results, and the claims of concurrent incarnations next to it."""
     from ..idempotency.durable import DurableStore, FolderError, TakeoverStore
     from ..idempotency.durable.storage import OsFiles, boot_id
-    from ..idempotency.durable.takeover_store import LEDGER
+    from ..idempotency.durable.takeover_store import CLAIM_LOG_PREFIX
 
     folder = Path(keyed.folder)
     survives_power_loss = keyed.durability == "power"
@@ -140,7 +140,7 @@
         raise config.ConfigurationError(f"keyed.folder: {error}") from None
     if incarnations is None:
         return store
-    claims_folder = folder / f"{LEDGER}{_short_boot_id()}"
+    claims_folder = folder / f"{CLAIM_LOG_PREFIX}{_short_boot_id()}"
     claims = _open_claims(configuration, claims_folder, incarnations)
     if claims is None:
         return store
--- a/cairnvane/testbed/faults/instrumented_server.py
+++ b/cairnvane/testbed/faults/instrumented_server.py
@@ -136,7 +136,7 @@
     settles: tuple[int, ...],
     then: Callable[[], None],
 ) -> None:
-    self._ledger.record_never_started(token, until, settles)  # and the segment log gets no result
+    self._claim_log.record_never_started(token, until, settles)  # and the segment log gets no result
     then()
 
 
--- a/tests/idempotency/test_kills_at_every_step.py
+++ b/tests/idempotency/test_kills_at_every_step.py
@@ -14,7 +14,7 @@
 from cairnvane.claims import ClaimLog, Incarnations
 from cairnvane.claims.storage import OsFolder
 from cairnvane.idempotency.durable import DurableStore, TakeoverStore
-from cairnvane.idempotency.durable.takeover_store import LEDGER
+from cairnvane.idempotency.durable.takeover_store import CLAIM_LOG_PREFIX
 from cairnvane.idempotency.store import StartedRun
 from cairnvane.testbed.stand_ins.disk import Disk, PowerCut
 
@@ -115,7 +115,7 @@
     for kill_at in range(200):
         path = tmp_path / str(kill_at)
         disk = Disk()
-        folder = Steps(path / f"{LEDGER}cafe0000")
+        folder = Steps(path / f"{CLAIM_LOG_PREFIX}cafe0000")
         folder.kill_at = kill_at if killed_log == "claim log" else -1
         disk.cut_at = kill_at if killed_log == "durable log" else None
         started: list[bytes] = []
--- a/tests/idempotency/test_takeover.py
+++ b/tests/idempotency/test_takeover.py
@@ -19,7 +19,7 @@
 from cairnvane.claims.records import Record, encode
 from cairnvane.claims.states import Step
 from cairnvane.idempotency.durable.storage import OsFiles
-from cairnvane.idempotency.durable.takeover_store import LEDGER
+from cairnvane.idempotency.durable.takeover_store import CLAIM_LOG_PREFIX
 from cairnvane.idempotency.fingerprint import fingerprint
 
 OTHER_KEY = TOKEN[::-1]
@@ -104,7 +104,7 @@
 
     def delete_claims(self) -> None:
         """Delete the claim logs, so that only the durable log is left."""
-        for path in self.folder.glob(f"{LEDGER}*/*"):
+        for path in self.folder.glob(f"{CLAIM_LOG_PREFIX}*/*"):
             path.unlink()
 
     def wait_for_ownership(self, process: subprocess.Popen[str]) -> None:
@@ -202,7 +202,7 @@
     key = bytes.fromhex(TOKEN)
     open_key = bytes.fromhex(OTHER_KEY)
     request_fingerprint = fingerprint("write", b"x")
-    claim_log = site.folder / f"{LEDGER}0badb007"
+    claim_log = site.folder / f"{CLAIM_LOG_PREFIX}0badb007"
     claim_log.mkdir(parents=True)
     at = 9_000_000_000_000  # of a clock that ran for months
     expires_at = at + 60_000_000
