--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -97,15 +97,15 @@
             files, self._state, recovery, groups, stop, max_read_delay_us=max_read_delay_us
         )
 
-    def check(self, beside: bool = False) -> None:
-        """Lock the folder; `FolderError` if it is another instance's or, unless `beside`, another process's.
+    def check(self, allow_concurrent: bool = False) -> None:
+        """Lock the folder; raise `FolderError` if another instance or another process owns it.
 
-        `beside`: the process that owns the folder may serve concurrently with this one. A disk that fails is
-        no error: it may work again later.
+        With `allow_concurrent`, another process may own the folder: it serves concurrently with this one. A
+        disk that fails is no error, since it may work again later.
         """
         try:
             self._files.make()
-            if beside:
+            if allow_concurrent:
                 with contextlib.suppress(FolderInUseError):
                     self._files.lock()
             else:
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -135,7 +135,7 @@
         step_observer=step_observer,
     )
     try:
-        store.check(beside=incarnations is not None and not incarnations.is_alone())
+        store.check(allow_concurrent=incarnations is not None and not incarnations.is_alone())
     except FolderError as error:
         raise config.ConfigurationError(f"keyed.folder: {error}") from None
     if incarnations is None:
