--- a/cairnvane/cli/keyed.py
+++ b/cairnvane/cli/keyed.py
@@ -45,7 +45,7 @@
             click.echo(line)
     for line in log_report.lines():
         click.echo(line)
-    is_damaged = log_report.wrong or any(claim_report.is_damaged for claim_report in claim_reports)
+    is_damaged = log_report.is_damaged or any(claim_report.is_damaged for claim_report in claim_reports)
     sys.exit(1 if is_damaged else 0)
 
 
--- a/cairnvane/idempotency/durable/verify.py
+++ b/cairnvane/idempotency/durable/verify.py
@@ -30,7 +30,7 @@
     keys: dict[str, int] = field(default_factory=dict)
 
     @property
-    def wrong(self) -> bool:
+    def is_damaged(self) -> bool:
         """Whether a record may be lost."""
         return bool(self.report.damaged or self.report.foreign or self.illegal)
 
@@ -47,7 +47,7 @@
         return [
             *(f"{kind}: {line}" for kind, lines in named for line in lines),
             f"{report.segments} segments, {report.bytes:,} bytes, {self.records:,} records; keys: {kinds}",
-            "a record may be lost" if self.wrong else "good",
+            "a record may be lost" if self.is_damaged else "good",
         ]
 
 
