--- a/cairnvane/idempotency/durable/compaction.py
+++ b/cairnvane/idempotency/durable/compaction.py
@@ -7,7 +7,7 @@
 from contextlib import closing
 
 from ...claims.states import Step
-from . import index as places
+from . import index as key_index
 from . import records
 from .index import Index
 from .retention import Segment
@@ -99,8 +99,8 @@
         new.size += pad
         rest = payload[records.COMMON_BYTES :]
         if word != _NOT_INDEXED:
-            new_word = places.pack_word(
-                self._number, new.size, places.fingerprint_tag(rest), places.unpack_state(word)
+            new_word = key_index.pack_word(
+                self._number, new.size, key_index.fingerprint_tag(rest), key_index.unpack_state(word)
             )
             self._moves += _MOVE.pack(key, word, new_word)
         new.add(size, until + shift)
@@ -123,8 +123,8 @@
         found = self._index.get(key)
         if found is None:
             return None
-        location = places.WordLocation(self._number % places.MOST_SEGMENT, offset)
-        return found.word if places.unpack_location(found.word) == location else None
+        location = key_index.WordLocation(self._number % key_index.SEGMENT_NUMBER_MODULUS, offset)
+        return found.word if key_index.unpack_location(found.word) == location else None
 
     def _replace(self, old: Segment, new: Segment) -> None:
         self._report_step("compaction")
--- a/cairnvane/idempotency/durable/group_writer.py
+++ b/cairnvane/idempotency/durable/group_writer.py
@@ -8,7 +8,7 @@
 
 from ... import clock
 from ...claims.states import KeyState, Step
-from . import index as places
+from . import index as key_index
 from .disk_retry import DiskRetry
 from .messages import WriteRecord
 from .segment_log import Entry
@@ -100,8 +100,8 @@
                     state.open_keys -= step in _CLOSING_STEPS
                 if step in _END_STEPS:
                     end_state = KeyState.FINISHED if step is Step.RESULT else KeyState.FAILED
-                    word = places.pack_word(
-                        segment, offset, places.fingerprint_tag(write.fingerprint), end_state
+                    word = key_index.pack_word(
+                        segment, offset, key_index.fingerprint_tag(write.fingerprint), end_state
                     )
                     state.index.put(entry.key, word, entry.expires_at)
                 write.is_applied = True
--- a/cairnvane/idempotency/durable/retention.py
+++ b/cairnvane/idempotency/durable/retention.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, field
 
 from . import records
-from .index import MOST_OFFSET
+from .index import OFFSET_LIMIT
 
 # The bound on disk space is divided into this many segments. Each is dropped whole, so as much may be unused.
 SEGMENTS = 16
 MIN_SEGMENT_BYTES = 2 * records.BLOCK
-MAX_SEGMENT_BYTES = min(8 << 20, MOST_OFFSET)
+MAX_SEGMENT_BYTES = min(8 << 20, OFFSET_LIMIT)
 # A segment takes what comes within this part of a key's window, so that it is not kept long for its last
 # record, but at least for this long.
 WINDOW_PARTS = 4
@@ -24,7 +24,7 @@
 COMPACT_ABOVE = 0.5
 COMPACT_DEAD = 0.5
 # The bytes that die by age are counted in steps of this size.
-AGE_STEP_US = 1_000_000
+EXPIRY_SLOT_US = 1_000_000
 # The largest result that the platform's protocol allows. A larger one exceeds the bound by the difference.
 RESULT_BYTES = 4_096
 # What one key takes on disk at most: two records, the one of the call, and the padding at the ends of blocks.
@@ -56,7 +56,7 @@
     def add(self, size: int, until: int) -> None:
         """A record was appended."""
         self.size += size
-        self.note({until // AGE_STEP_US: size}, until)
+        self.note({until // EXPIRY_SLOT_US: size}, until)
 
     def note(self, by_end: dict[int, int], ends: int) -> None:
         """Count records: the bytes of them that expire in each step, the last at `ends`."""
@@ -66,7 +66,7 @@
 
     def dead_bytes(self, now: int) -> int:
         """Bytes that nobody needs any more."""
-        aged = sum(size for step, size in self._bytes_by_end.items() if (step + 1) * AGE_STEP_US <= now)
+        aged = sum(size for step, size in self._bytes_by_end.items() if (step + 1) * EXPIRY_SLOT_US <= now)
         return min(self.size, self.superseded_bytes + aged)
 
 
--- a/cairnvane/idempotency/durable/segment_log.py
+++ b/cairnvane/idempotency/durable/segment_log.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Generator, Iterable
 
 from ...claims.states import Step
-from . import index as places
+from . import index as key_index
 from . import records, retention
 from .appender import Entry, Owner, RecordLocation, SegmentAppender
 from .compaction import Compaction
@@ -95,16 +95,16 @@
             check_owner(name, header, self._owner.name)
             self._read(name, header, recovery)
         self._start_records.restore(recovery.runs)
-        self._appender.restore(recovery.pool_started, recovery.pos)
+        self._appender.restore(recovery.pool_started_at, recovery.settled_notice)
         return recovery
 
     def _read(self, name: str, header: records.Header, recovery: Recovery) -> None:
-        segment = recovery.begin(header)
+        segment = recovery.begin_segment(header)
         reading = recovery.read(blocks(self._files, name, header))
         segment.size = self._files.size(name)
-        if self.report.take(name, reading.damages, reading.end):
-            self._files.cut(name, reading.end)
-            segment.size = reading.end
+        if self.report.take(name, reading.damages, reading.end_offset):
+            self._files.cut(name, reading.end_offset)
+            segment.size = reading.end_offset
         self.segments[header.number] = segment
 
     # --- appending
@@ -138,7 +138,7 @@
 
         None if the record there is damaged, or not this key's with this request fingerprint.
         """
-        short_number, offset = places.unpack_location(word)
+        short_number, offset = key_index.unpack_location(word)
         number = self._full_number(short_number)
         if number is None:
             return None
@@ -156,7 +156,7 @@
     def _full_number(self, short_number: int) -> int | None:
         """The segment whose number an index entry abbreviates."""
         for number in self.segments:
-            if number % places.MOST_SEGMENT == short_number:
+            if number % key_index.SEGMENT_NUMBER_MODULUS == short_number:
                 return number
         return None
 
--- a/cairnvane/idempotency/durable/segment_reader.py
+++ b/cairnvane/idempotency/durable/segment_reader.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from . import index as places
+from . import index as key_index
 from . import records
 from .errors import FolderError, InvalidHeaderError, NewerVersionError
 from .storage import Files, segment_number
@@ -27,7 +27,7 @@
         Damage before a good record, or beyond the largest size of a segment, is no last write that was cut
         short.
         """
-        torn = bool(bad) and end <= bad[-1].offset < places.MOST_OFFSET
+        torn = bool(bad) and end <= bad[-1].offset < key_index.OFFSET_LIMIT
         for damage in bad[:-1] if torn else bad:
             self.damaged.append(f"{name}: {damage}")
         if torn:
@@ -61,14 +61,14 @@
     header: records.Header,
 ) -> Iterator[records.RawRecord | records.Damage]:
     """The records of a segment as `records.scan` yields them, with one block in memory at a time."""
-    for offset in range(0, places.MOST_OFFSET, records.BLOCK):
+    for offset in range(0, key_index.OFFSET_LIMIT, records.BLOCK):
         data = files.read(name, offset, records.BLOCK)
         yield from records.scan(data, offset, header.number)
         if len(data) < records.BLOCK:
             return
-    excess = max(0, files.size(name) - places.MOST_OFFSET)
+    excess = max(0, files.size(name) - key_index.OFFSET_LIMIT)
     if excess:
-        yield records.Damage(places.MOST_OFFSET, "longer than any segment", excess)
+        yield records.Damage(key_index.OFFSET_LIMIT, "longer than any segment", excess)
 
 
 def read_segment(files: Files, number: int, name: str, report: Report) -> records.Header | None:
--- a/cairnvane/idempotency/durable/state.py
+++ b/cairnvane/idempotency/durable/state.py
@@ -7,7 +7,7 @@
 
 from ... import clock
 from ...claims.states import KeyState
-from . import index as places
+from . import index as key_index
 from . import retention
 from .index import Index
 from .segment_log import SegmentLog
@@ -52,7 +52,7 @@
         now = clock.now()
         since = self.writing_since
         with self.lock:
-            first_end = self.index.oldest_end(now)
+            first_end = self.index.time_to_oldest_expiry(now)
             load = retention.Load(
                 ready=self.is_ready,
                 failing=self.is_failing,
@@ -83,7 +83,7 @@
         """
         with self.lock:
             found = self.index.get(key)
-        if found is None or places.unpack_state(found.word) is not KeyState.FINISHED:
+        if found is None or key_index.unpack_state(found.word) is not KeyState.FINISHED:
             return None
         try:
             return self.log.fetch(found.word, key, fingerprint)
--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -19,7 +19,7 @@
 from ...claims import states
 from ...claims.states import RetryDecision, Step
 from ..store import KeyConflictError, RecoveredState, StartedRun, StepObserver, StoredEntry
-from . import index as places
+from . import index as key_index
 from . import records, retention
 from .disk_retry import DiskRetry
 from .errors import FolderInUseError
@@ -209,12 +209,12 @@
         state = self._state
         with state.lock:
             found = state.index.get(key)
-            if found is None or not state.index.is_before_end(found.end_tick, arrived_at):
+            if found is None or not state.index.is_before_expiry(found.expiry_tick, arrived_at):
                 return None
         word = found.word
-        if not places.may_match(word, fingerprint):
+        if not key_index.may_match(word, fingerprint):
             raise KeyConflictError(f"key {key.hex()} is stored for another class or body")
-        decision = states.decide_duplicate(places.unpack_state(word), True)
+        decision = states.decide_duplicate(key_index.unpack_state(word), True)
         if decision is RetryDecision.RUN:
             return None
         return StoredEntry(key, decision is RetryDecision.RESULT)
--- a/tests/durable_log_driver.py
+++ b/tests/durable_log_driver.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from cairnvane.claims.states import KeyState, Step
-from cairnvane.idempotency.durable import index as places
+from cairnvane.idempotency.durable import index as key_index
 from cairnvane.idempotency.durable import records
 from cairnvane.idempotency.durable.appender import RecordLocation
 from cairnvane.idempotency.durable.index import Index
@@ -75,7 +75,7 @@
         step = Step.FAULT if with_result is None else Step.RESULT
         segment, offset = self.write(step, number, records.encode_end(FINGERPRINT, with_result or b""))
         state = KeyState.FAILED if with_result is None else KeyState.FINISHED
-        word = places.pack_word(segment, offset, places.fingerprint_tag(FINGERPRINT), state)
+        word = key_index.pack_word(segment, offset, key_index.fingerprint_tag(FINGERPRINT), state)
         self.index.put(key(number), word, self.now + WINDOW_US)
         self.answered[number] = self.now + WINDOW_US
 
@@ -119,12 +119,12 @@
         if number in before.answered and found is not None:
             expected = before.ends[number]
             state = KeyState.FAILED if expected is None else KeyState.FINISHED
-            assert places.unpack_state(found[0]) is state, number
+            assert key_index.unpack_state(found[0]) is state, number
     for number, until in before.answered.items():
         found = after.index.get(key(number))
         if until > after.now:
             assert found is not None, f"the answer of {number} is forgotten"
-        if found is not None and places.unpack_state(found[0]) is KeyState.FINISHED:
+        if found is not None and key_index.unpack_state(found[0]) is KeyState.FINISHED:
             assert after.log.fetch(found[0], key(number), FINGERPRINT) == before.ends[number]
     assert started <= {key(number) for number in before.attempted}, "a run was invented"
     return after
--- a/tests/idempotency/test_durable_index.py
+++ b/tests/idempotency/test_durable_index.py
@@ -11,7 +11,7 @@
 
 from cairnvane.claims import states
 from cairnvane.claims.states import IllegalStepError, KeyState, Step
-from cairnvane.idempotency.durable import index as places
+from cairnvane.idempotency.durable import index as key_index
 from cairnvane.idempotency.durable import records
 from cairnvane.idempotency.durable.errors import IndexFullError
 from cairnvane.idempotency.durable.index import Index
@@ -21,10 +21,10 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 900)), max_size=200), st.booleans())
 def test_the_index_agrees_with_a_dict(steps: list[tuple[int, int]], wraps: bool) -> None:
-    index = Index(64 * places.BYTES_PER_ENTRY)
+    index = Index(64 * key_index.BYTES_PER_ENTRY)
     expected: dict[bytes, tuple[int, int]] = {}  # the word and the end of each key
     if wraps:
-        index._head = index._tail = places._WRAP - 30
+        index._head = index._tail = key_index._UINT32_RANGE - 30
     now = 0
     for number, elapsed_ms in steps:
         now += elapsed_ms * 1_000
@@ -74,7 +74,7 @@
     }
     for number in range(1, 4):
         found = after.index.get(key(number))
-        indexed = places.unpack_state(found[0]) if found else KeyState.UNKNOWN
+        indexed = key_index.unpack_state(found[0]) if found else KeyState.UNKNOWN
         recovered = started.get(key(number)) or indexed
         wanted = expected.get(number, KeyState.UNKNOWN)
         assert recovered is (KeyState.UNKNOWN if wanted is KeyState.VOID else wanted)
--- a/tests/idempotency/test_durable_log.py
+++ b/tests/idempotency/test_durable_log.py
@@ -22,7 +22,7 @@
 from hypothesis import strategies as st
 
 from cairnvane.claims.states import KeyState
-from cairnvane.idempotency.durable import index as places
+from cairnvane.idempotency.durable import index as key_index
 from cairnvane.idempotency.durable import records
 from cairnvane.idempotency.durable.errors import FolderError
 from cairnvane.idempotency.durable.segment_log import check
@@ -66,13 +66,13 @@
         found = after.index.get(key(number))
         if found is not None:
             assert number in driver.ends
-            if places.unpack_state(found[0]) is KeyState.FINISHED:
+            if key_index.unpack_state(found[0]) is KeyState.FINISHED:
                 assert after.log.fetch(found[0], key(number), FINGERPRINT) in (driver.ends[number], None)
     if kind == "cut":  # a record that is whole before the cut counts
         for number in driver.ends:
             word = driver.index.get(key(number))
             assert word is not None
-            offset = places.unpack_location(word[0])[1]
+            offset = key_index.unpack_location(word[0])[1]
             end = offset + records.END_BYTES + len(driver.ends[number] or b"")
             assert at < end or after.index.get(key(number)) is not None
 
