--- a/cairnvane/idempotency/durable/background_tasks.py
+++ b/cairnvane/idempotency/durable/background_tasks.py
@@ -8,10 +8,10 @@
 
 
 class BackgroundTasks:
-    """Runs tasks in a thread of its own, in the order in which they were added."""
+    """Runs tasks in a separate thread, in the order in which they were added."""
 
     def __init__(self, name: str) -> None:
-        """`name` is that of the thread."""
+        """`name` is the name of the thread."""
         self._queue: SimpleQueue[Callable[[], None] | None] = SimpleQueue()
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
@@ -20,11 +20,11 @@
         self._thread.start()
 
     def add(self, task: Callable[[], None]) -> None:
-        """Run a task after all that were added before. From any thread."""
+        """Run a task after all tasks that were added before. May be called from any thread."""
         self._queue.put(task)
 
     def stop(self) -> None:
-        """End the thread after the tasks that were added before."""
+        """End the thread once all tasks that were added before have run."""
         self._queue.put(None)
 
     def _run(self) -> None:
--- a/cairnvane/idempotency/durable/claim_transfer.py
+++ b/cairnvane/idempotency/durable/claim_transfer.py
@@ -1,4 +1,4 @@
-"""Enters into the durable log what only the claim logs in its folder know."""
+"""Copies claims and results that are only in claim logs to the durable log."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 logger = logging.getLogger(__name__)
 
-# The prefix of a claim log in the folder of the durable log. There is one for each boot of the machine:
-# times in it are of that boot's clock.
+# The prefix of the name of a claim log in the folder of the durable log. There is one claim log for each boot
+# of the machine, since its times are those of that boot's monotonic clock.
 CLAIM_LOG_PREFIX = "ledger."
 
 
 def ignore_written() -> None:
-    """Nobody waits for this record."""
+    """Do nothing: no caller waits for the record."""
 
 
 def ignore_not_started(is_elsewhere: bool) -> None:
-    """Nobody waits for this start: the run goes on already."""
+    """Do nothing: no caller waits for the start, since the run is already in progress."""
 
 
 class _EarlierClaims(NamedTuple):
-    """What the claim log of another boot says."""
+    """The content of the claim log of another boot."""
 
     entries: dict[bytes, Entry]
     results: dict[bytes, bytes]  # by key
@@ -65,7 +65,7 @@
         own_path: Path,
         deferred: DeferredRecords,
     ) -> None:
-        """`own_path` is the claim log of this boot, in `folder`; `deferred` knows this process's runs."""
+        """`own_path` is this boot's claim log, in `folder`; `deferred` holds the runs of this process."""
         self._store = store
         self._claim_log = claim_log
         self._folder = folder
@@ -73,17 +73,17 @@
         self._deferred = deferred
 
     def run(self, recovered: RecoveredState) -> tuple[StartedRun, ...]:
-        """Transfer everything; returns the started runs whose end no log knows."""
+        """Transfer everything; returns the started runs without an end in any log."""
         started = {run.key: run for run in recovered.started_runs}
         for key, entry, result in self._claim_log.entries():
             if not self._store.has_end(key):
-                self._transfer(key, entry, result, started)
+                self._transfer_claim(key, entry, result, started)
         for path in self._folder.glob(f"{CLAIM_LOG_PREFIX}*"):
             if path != self._own_path:
                 self._transfer_earlier_boot(path, started)
         return tuple(started.values())
 
-    def _transfer(
+    def _transfer_claim(
         self, key: bytes, entry: Entry, result: bytes | None, started: dict[bytes, StartedRun]
     ) -> None:
         if entry.state is KeyState.INTENDED:
@@ -91,7 +91,7 @@
                 self._transfer_own_run(key, entry.expires_at)
                 return
             if key in started or not self._claim_log.is_holder_dead(entry):
-                return  # its end is still to come
+                return  # its end has yet to be recorded
         self._record_end(key, entry.expires_at, entry.fingerprint, result, started)
 
     def _transfer_own_run(self, key: bytes, expires_at: int) -> None:
@@ -103,10 +103,10 @@
             self._store.record_call(key, expires_at, call_notice, ignore_written)
 
     def _transfer_earlier_boot(self, path: Path, started: dict[bytes, StartedRun]) -> None:
-        """Transfer the claim log of another boot, and remove it once that is recorded.
+        """Transfer the claim log of another boot, and remove it once its content is recorded.
 
-        Nobody knows how much time has passed since, so none counts as passed. The worker pools of that boot
-        are gone, so a run without an end has none.
+        The time that has passed since that boot is unknown and counts as zero. The worker pools of that boot
+        no longer run, so a run without a recorded end is recorded as ended without a result.
         """
         try:
             claims = _read_earlier_claims(path)
@@ -131,6 +131,6 @@
         result: bytes | None,
         started: dict[bytes, StartedRun],
     ) -> None:
-        if started.pop(key, None) is None:  # else the durable store has capacity reserved for it
+        if started.pop(key, None) is None:  # otherwise the durable store has reserved capacity for it
             self._store.reserve()
         self._store.record_end(key, expires_at, fingerprint, result, (), ignore_written)
--- a/cairnvane/idempotency/durable/compaction.py
+++ b/cairnvane/idempotency/durable/compaction.py
@@ -1,4 +1,4 @@
-"""Rewrites one segment without the records that no longer count. It reads no clock."""
+"""Rewrites one segment without its dead records. Reads no clock."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from . import records
 from .index import Index
 from .retention import Segment
-from .segment_reader import blocks
+from .segment_reader import read_records
 from .start_records import StartRecords
 from .storage import TEMPORARY, Files, Handle, segment_name
 
 _MOVE = struct.Struct("<16sQQ")  # key, its word in the index before and after
-# A compaction goes on by so much between two groups of records.
+# The number of bytes that a compaction writes in one step, between two groups of records.
 STEP_BYTES = 4 * records.BLOCK
-# A record that counts though it does not stand in the index.
+# Returned instead of a word for a live record that is not in the index.
 _NOT_INDEXED = 0
 
 
@@ -38,7 +38,7 @@
         max_read_delay_us: int,
         report_step: Callable[[str], None],
     ) -> None:
-        """`segments` is the log's table; `number` is the segment that is rewritten."""
+        """`segments` is the log's table of segments; `number` is that of the segment to rewrite."""
         self._files = files
         self._segments = segments
         self._start_records = start_records
@@ -50,14 +50,14 @@
         self._report_step = report_step
         self._name = segment_name(number)
         self._temporary = self._name + TEMPORARY
-        # Packed, since there may be a million of them.
+        # Packed `_MOVE` entries, since there may be a million of them.
         self._moves = bytearray()
 
     def run(self) -> Iterator[None]:
-        """Write what still counts into a new file that then replaces the old one, a few blocks a step.
+        """Write the live records to a new file that then replaces the old one, a few blocks in each step.
 
-        Places in the index move when the new file has the name: a process that ends before leaves the old
-        file.
+        The locations in the index are updated once the new file has the segment's name. If the process ends
+        before that, the old file remains.
         """
         old = self._segments[self._number]
         new = Segment(self._number, old.begun_at)
@@ -68,49 +68,53 @@
             yield from self._write_live_records(handle, header, new)
             if self._power:
                 handle.sync()
-        if self._number not in self._segments:  # dropped meanwhile
+        if self._number not in self._segments:  # the segment was dropped meanwhile
             self._files.remove(self._temporary)
             return
         self._replace(old, new)
 
     def _write_live_records(self, handle: Handle, header: records.Header, new: Segment) -> Iterator[None]:
-        shift = new.begun_at - header.at
+        time_shift_us = new.begun_at - header.at
         handle.write(records.encode_header(header))
         buffer = bytearray()
-        for found in blocks(self._files, self._name, header):
+        for found in read_records(self._files, self._name, header):
             if isinstance(found, records.Damage):
                 continue
             kind, offset, payload = found
-            buffer += self._live_record(Step(kind), offset, payload, shift, new)
+            buffer += self._live_record(Step(kind), offset, payload, time_shift_us, new)
             if len(buffer) >= STEP_BYTES:
                 handle.write(bytes(buffer))
                 buffer.clear()
                 yield
         handle.write(bytes(buffer))
 
-    def _live_record(self, step: Step, offset: int, payload: bytes, shift: int, new: Segment) -> bytes:
-        """The bytes to write for a record of the old segment; none if it no longer counts."""
-        key, at, until, pos = records.unpack_common(payload)
-        word = self._live_word(step, key, until + shift, offset)
+    def _live_record(
+        self, step: Step, offset: int, payload: bytes, time_shift_us: int, new: Segment
+    ) -> bytes:
+        """The bytes to write for a record of the old segment; empty if the record is dead."""
+        key, recorded_at, expires_at, settled_notice = records.unpack_common(payload)
+        word = self._live_word(step, key, expires_at + time_shift_us, offset)
         if word is None:
             return b""
         size = records.HEAD_BYTES + len(payload)
         pad = records.padding(new.size, size)
         new.size += pad
-        rest = payload[records.COMMON_BYTES :]
+        own_part = payload[records.COMMON_BYTES :]
         if word != _NOT_INDEXED:
             new_word = key_index.pack_word(
-                self._number, new.size, key_index.fingerprint_tag(rest), key_index.unpack_state(word)
+                self._number, new.size, key_index.fingerprint_tag(own_part), key_index.unpack_state(word)
             )
             self._moves += _MOVE.pack(key, word, new_word)
-        new.add(size, until + shift)
-        return bytes(pad) + records.encode_record(self._number, step, key, at, until, pos, rest)
+        new.add_record(size, expires_at + time_shift_us)
+        return bytes(pad) + records.encode_record(
+            self._number, step, key, recorded_at, expires_at, settled_notice, own_part
+        )
 
-    def _live_word(self, step: Step, key: bytes, until: int, offset: int) -> int | None:
-        """The word of a record in the index, `_NOT_INDEXED`, or None if the record no longer counts."""
+    def _live_word(self, step: Step, key: bytes, expires_at: int, offset: int) -> int | None:
+        """The word of a record in the index, `_NOT_INDEXED`, or None if the record is dead."""
         if step is Step.LINK:
             return _NOT_INDEXED
-        if until + self._max_read_delay_us <= self._now:
+        if expires_at + self._max_read_delay_us <= self._now:
             return None
         if step in (Step.RESULT, Step.FAULT):
             return self._indexed_word(key, offset)
--- a/cairnvane/idempotency/durable/disk_retry.py
+++ b/cairnvane/idempotency/durable/disk_retry.py
@@ -1,4 +1,4 @@
-"""Retries of a disk that fails, with exponential backoff."""
+"""Delays the retries of failed disk operations, with exponential backoff."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class DiskRetry:
-    """Counts the failures of the disk in a row. Writer thread only."""
+    """Counts consecutive failures of the disk. Used by the writer thread only."""
 
     def __init__(self, state: StoreState, stop: threading.Event) -> None:
-        """`stop` ends a pause between two attempts."""
+        """Setting `stop` ends a pause between two attempts."""
         self._state = state
         self._stop = stop
         self.failures = 0
@@ -23,15 +23,17 @@
     def pause(self, error: OSError) -> bool:
         """Wait before the next attempt; True if the store is being closed."""
         self.failures += 1
-        if not self._state.is_failing:  # logged once, not with every attempt
+        if not self._state.is_failing:  # logged once, not at every attempt
             self._state.is_failing = True
-            logger.warning("the disk fails: %s; new keyed requests are rejected until it works again", error)
+            logger.warning(
+                "disk operation failed: %s; rejecting new keyed requests until one succeeds", error
+            )
         self._state.writing_since = 0
-        return self._stop.wait(retention.retry_after(self.failures) / 1e6)
+        return self._stop.wait(retention.disk_retry_delay_us(self.failures) / 1e6)
 
     def succeeded(self) -> None:
-        """The disk has done what was asked."""
+        """A disk operation has succeeded."""
         if self._state.is_failing:
             self._state.is_failing = False
-            logger.info("the disk works again, after %s failures", self.failures)
+            logger.info("disk operation succeeded after %s failures", self.failures)
         self.failures = 0
--- a/cairnvane/idempotency/durable/errors.py
+++ b/cairnvane/idempotency/durable/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the durable store. Their messages name the place and the value."""
+"""The errors of the durable store. Their messages name the file or key and the value that is wrong."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FolderError(StorageError):
-    """The folder is not usable as it is; one line that says why."""
+    """The folder is not usable; the message is one line with the reason."""
 
 
 class FolderInUseError(FolderError):
@@ -16,16 +16,16 @@
 
 
 class IndexFullError(StorageError):
-    """More keys are within their window than the memory has room for."""
+    """More keys are within their window than the index has room for."""
 
 
 class RecordTooLargeError(StorageError, ValueError):
-    """A record that fits into no block."""
+    """A record is larger than a block allows."""
 
 
 class InvalidHeaderError(StorageError):
-    """A file that is no segment, or one that this version is unable to read."""
+    """The file is not a segment, or not one that this version can read."""
 
 
 class NewerVersionError(InvalidHeaderError):
-    """A segment of a later version of the program: it must not be changed."""
+    """The segment was written by a later version of the program and must not be changed."""
--- a/cairnvane/idempotency/durable/folder_recovery.py
+++ b/cairnvane/idempotency/durable/folder_recovery.py
@@ -1,4 +1,4 @@
-"""Takes over the store's folder and recovers what an earlier incarnation has left. Writer thread only."""
+"""Locks the store's folder and recovers the state of earlier incarnations. Used by the writer thread only."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
 
 logger = logging.getLogger(__name__)
 
-# While another process owns the folder, its lock is tried this often.
+# The interval at which the lock is tried while another process owns the folder.
 LOCK_RETRY_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCallbacks:
-    """Whom the writer thread notifies; see `IdempotencyStore.start`."""
+    """The functions that the writer thread calls; see `IdempotencyStore.start`."""
 
     recovered: Callable[[RecoveredState], None]
     delayed: Callable[[], None]
     lost: Callable[[str], None]
-    # Another process owns the folder, and what it has recorded so far has been read: whether to wait for it.
+    # Called if another process owns the folder, once its records have been read; returns whether to wait
+    # until the folder is free.
     wait_for_owner: Callable[[], bool]
 
 
@@ -60,9 +61,9 @@
         self._new_log = new_log
 
     def run(self, callbacks: StoreCallbacks) -> bool:
-        """Lock and read the folder, with retries until the disk allows it.
+        """Lock and read the folder; failed disk operations are retried.
 
-        Returns False if that is impossible (reported as `lost`) or if the store is being closed.
+        Returns False if recovery is impossible (reported as `lost`) or if the store is being closed.
         """
         has_waited = False
         while True:
@@ -91,11 +92,11 @@
                     return False
 
     def _read_unowned(self) -> None:
-        """Read what the process that owns the folder has recorded so far."""
+        """Read the records that the process that owns the folder has written so far."""
         while True:
             index = self._new_index()
             log = self._new_log(ReadOnlyFiles(self._files))
-            with contextlib.suppress(FileNotFoundError):  # its owner has just dropped a segment
+            with contextlib.suppress(FileNotFoundError):  # the owner has dropped a segment; read again
                 log.recover(index, clock.now())
                 break
         with self._state.lock:
@@ -107,7 +108,7 @@
         start = clock.now()
         index = state.index
         log = state.log
-        if has_waited:  # what was read from the other process's folder answers until all is read anew
+        if has_waited:  # the index of `_read_unowned` is used for lookups until all segments are read again
             index = self._new_index()
             log = self._new_log(self._files)
         recovery = log.recover(index, start)
@@ -115,7 +116,7 @@
         with state.lock:
             state.index = index
             state.log = log
-            if not has_waited:  # else the notices are those of this incarnation's own pool
+            if not has_waited:  # otherwise the notices read so far are those of the pool of this incarnation
                 state.progress = retention.NoticeProgress(recovered.last_notice)
             state.open_keys += len(recovered.started_runs)
             state.is_ready = True
@@ -124,9 +125,9 @@
         self._retry.succeeded()
         callbacks.recovered(recovered)
 
-    def _log_recovery(self, recovery: Recovery, took_us: int) -> None:
+    def _log_recovery(self, recovery: Recovery, duration_us: int) -> None:
         report = self._state.log.report
         for line in [*report.damaged, *report.torn, *report.foreign, *recovery.counts.illegal]:
             logger.warning("%s", line)
         entries = len(self._state.index)
-        logger.info(RESULTS_RECOVERED, entries, len(recovery.runs), report.segments, took_us / 1e3)
+        logger.info(RESULTS_RECOVERED, entries, len(recovery.runs), report.segments, duration_us / 1e3)
--- a/cairnvane/idempotency/durable/group_writer.py
+++ b/cairnvane/idempotency/durable/group_writer.py
@@ -1,4 +1,4 @@
-"""Writes groups of records, again and again until the disk has them. Writer thread only."""
+"""Writes groups of records, and repeats a write that fails. Used by the writer thread only."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from .state import StoreState
 from .step_reporter import StepReporter
 
-# Bytes that a queued record takes in memory in addition to its own part.
+# The bytes of memory that a queued record takes in addition to its own part.
 QUEUED_RECORD_OVERHEAD = 512
 _END_STEPS = (Step.RESULT, Step.FAULT)
 _CLOSING_STEPS = (*_END_STEPS, Step.NEVER)
@@ -27,21 +27,21 @@
 
 
 class GroupWriter:
-    """Writes groups of records, and syncs them where a power cut has to be survived.
+    """Writes groups of records, and syncs them if they have to survive a power cut.
 
-    If the disk fails, all that was not synced is written again to a new segment.
+    If the disk fails, all records that were not synced are written again to a new segment.
     """
 
     def __init__(self, state: StoreState, retry: DiskRetry, steps: StepReporter, *, power: bool) -> None:
-        """`power`: records have to survive a power cut."""
+        """`power`: whether records have to survive a power cut."""
         self._state = state
         self._retry = retry
         self._steps = steps
         self._power = power
-        self._unsynced: list[WriteRecord] = []  # written, but a power cut may lose them
+        self._unsynced: list[WriteRecord] = []  # written, but not yet safe from a power cut
 
     def write(self, group: list[WriteRecord]) -> bool:
-        """Write a group until the disk has it, then notify who waits; False if the store is being closed."""
+        """Write a group, with retries, then call its callbacks; False if the store is being closed."""
         state = self._state
         state.writing_since = clock.now()
         while True:
@@ -75,21 +75,23 @@
         self._notify(group)
 
     def _settle_notices(self, group: list[WriteRecord]) -> list[Entry]:
-        """The group's records, each with the notices that need not be sent again once it is written.
+        """The entries of the group, each with its `settled_notice` set.
 
-        These are its own and those of all records before it.
+        Once a record is written, the notices that it and all records before it settle need not be sent again.
         """
         state = self._state
         entries = []
         with state.lock:
             for write in group:
-                write.progress.written(write.settles)  # may be that of an earlier worker pool
-                write.entry.settled_notice = state.progress.pos
+                write.progress.record_written(
+                    write.settles
+                )  # `progress` may be that of an earlier worker pool
+                write.entry.settled_notice = state.progress.settled_notice
                 entries.append(write.entry)
         return entries
 
     def _apply(self, group: list[WriteRecord], locations: Sequence[tuple[int, int]]) -> None:
-        """The group is written: enter its ends into the index, and count what it no longer takes."""
+        """The group is written: add its ends to the index, and update the queue size and the open keys."""
         state = self._state
         with state.lock:
             for write, (segment, offset) in zip(group, locations, strict=True):
@@ -110,11 +112,11 @@
     def _notify(self, group: list[WriteRecord]) -> None:
         for write in group:
             then = write.then
-            write.then = None  # a record that is written again has been reported
+            write.then = None  # if the record is written again, the callback must not be called twice
             if then is not None:
                 then()
 
     def _drop_old_segments(self) -> None:
-        """A full disk may be full of expired segments of this store."""
+        """Free space for the retry: a full disk may hold expired segments of this store."""
         with contextlib.suppress(OSError):
             self._state.log.drop(clock.now())
--- a/cairnvane/idempotency/durable/messages.py
+++ b/cairnvane/idempotency/durable/messages.py
@@ -1,4 +1,4 @@
-"""What the store's caller sends to its writer thread."""
+"""The messages that the store sends to its writer thread."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
     entry: Entry
     then: Callable[[], None] | None
-    progress: retention.NoticeProgress  # of the worker pool that the settled notices belong to
-    fingerprint: bytes = b""  # of an end: the request fingerprint that the index shows
-    settles: tuple[int, ...] = ()  # notices that need not be sent again once this is written
-    needs_sync: bool = True  # someone waits until the record survives a power cut
-    is_applied: bool = False  # the record counts, and is only written again
+    progress: retention.NoticeProgress  # of the worker pool that sent the notices in `settles`
+    fingerprint: bytes = b""  # the request fingerprint, for the index; of ends only
+    settles: tuple[int, ...] = ()  # notices that need not be sent again once the record is written
+    needs_sync: bool = True  # `then` may be called only once the record survives a power cut
+    is_applied: bool = False  # the record is in the index and in the counts, and is being written again
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseWriter:
-    """Write what was sent before this, then end the thread."""
+    """Write all records that were sent before this message, then end the thread."""
 
 
 Message = WriteRecord | FetchResult | CloseWriter
--- a/cairnvane/idempotency/durable/recovery.py
+++ b/cairnvane/idempotency/durable/recovery.py
@@ -151,7 +151,7 @@
             settled_notice = self.settled_notice
         self.settled_notice = settled_notice
         self.counts.records += count
-        segment.note(bytes_by_slot, last_expiry)
+        segment.add_bytes(bytes_by_slot, last_expiry)
         return SegmentReading(damages, end_offset)
 
     def _index_full(self) -> IndexFullError:
--- a/cairnvane/idempotency/durable/segment_reader.py
+++ b/cairnvane/idempotency/durable/segment_reader.py
@@ -1,4 +1,4 @@
-"""Reads the segments in a folder, and reports what is damaged. Every function may raise `OSError`."""
+"""Reads the segments in a folder and reports damage. Every function may raise `OSError`."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 @dataclass(slots=True)
 class Report:
-    """What reading a folder has found, for people."""
+    """What reading a folder has found, as lines of text."""
 
     segments: int = 0
     bytes: int = 0
     damaged: list[str] = field(default_factory=list)  # a record may be lost
-    torn: list[str] = field(default_factory=list)  # a last write that was cut short, as a crash leaves it
-    foreign: list[str] = field(default_factory=list)  # left alone
+    torn: list[str] = field(default_factory=list)  # last writes that were cut short, as by a crash
+    foreign: list[str] = field(default_factory=list)  # files that are not segments, and are not changed
 
-    def take(self, name: str, bad: list[records.Damage], end: int) -> bool:
-        """Report the damage in a segment whose last good record ends at `end`; whether its end is torn.
+    def add_damage(self, name: str, damages: list[records.Damage], end_offset: int) -> bool:
+        """Report the damage in a segment whose last good record ends at `end_offset`.
 
-        Damage before a good record, or beyond the largest size of a segment, is no last write that was cut
-        short.
+        Returns whether the last damage is a torn write. Damage before a good record, or beyond the largest
+        size of a segment, is not.
         """
-        torn = bool(bad) and end <= bad[-1].offset < key_index.OFFSET_LIMIT
-        for damage in bad[:-1] if torn else bad:
+        is_torn = bool(damages) and end_offset <= damages[-1].offset < key_index.OFFSET_LIMIT
+        for damage in damages[:-1] if is_torn else damages:
             self.damaged.append(f"{name}: {damage}")
-        if torn:
-            self.torn.append(f"{name}: {bad[-1]}, and behind byte {end} nothing counts")
-        return torn
+        if is_torn:
+            self.torn.append(f"{name}: {damages[-1]}, and behind byte {end_offset} nothing counts")
+        return is_torn
 
 
 def segment_names(files: Files) -> list[tuple[int, str]]:
@@ -42,20 +42,20 @@
 
 
 def check_owner(file: str, header: records.Header, instance_name: str) -> None:
-    """Raise `FolderError` if this segment is another instance's."""
+    """Raise `FolderError` if the segment belongs to another instance."""
     if header.name != instance_name:
         raise FolderError(f"{file}: belongs to the instance {header.name!r}, not to {instance_name!r}")
 
 
-def check(files: Files, instance_name: str) -> None:
-    """Raise `FolderError` if the folder is another instance's or a newer version's; nothing is changed."""
+def check_folder(files: Files, instance_name: str) -> None:
+    """Raise `FolderError` if another instance or a newer version wrote the folder. Changes nothing."""
     for number, file in segment_names(files):
-        header = read_segment(files, number, file, Report())
+        header = read_header(files, number, file, Report())
         if header is not None:
             check_owner(file, header, instance_name)
 
 
-def blocks(
+def read_records(
     files: Files,
     name: str,
     header: records.Header,
@@ -71,15 +71,15 @@
         yield records.Damage(key_index.OFFSET_LIMIT, "longer than any segment", excess)
 
 
-def read_segment(files: Files, number: int, name: str, report: Report) -> records.Header | None:
-    """The header of a segment, or None with a line in the report.
+def read_header(files: Files, number: int, name: str, report: Report) -> records.Header | None:
+    """The header of a segment; None, with a line in the report, if the file is not a segment.
 
-    Raises `FolderError` if a newer version has written it.
+    Raises `FolderError` if a newer version wrote it.
     """
     try:
         header = records.parse_header(files.read(name, 0, records.HEADER_BYTES))
         if header.number != number:
-            raise InvalidHeaderError(f"it says that it is segment {header.number}")
+            raise InvalidHeaderError(f"its header names segment {header.number}")
     except NewerVersionError as error:
         raise FolderError(f"{name}: {error}") from None
     except InvalidHeaderError as error:
--- a/cairnvane/idempotency/durable/space_maintenance.py
+++ b/cairnvane/idempotency/durable/space_maintenance.py
@@ -1,4 +1,4 @@
-"""Expires entries, drops and compacts segments at intervals. Writer thread only."""
+"""Expires entries, and drops and compacts segments at intervals. Used by the writer thread only."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 logger = logging.getLogger(__name__)
 
-# Space is reclaimed at most this often.
+# The minimum interval between two attempts to reclaim space.
 INTERVAL_US = 500_000
 
 
@@ -17,14 +17,14 @@
     """Reclaims memory and disk space."""
 
     def __init__(self, state: StoreState, is_idle: Callable[[], bool], *, max_read_delay_us: int) -> None:
-        """`is_idle`: no message waits for the writer; compaction goes on only while that holds."""
+        """`is_idle` returns whether the writer's queue is empty; compaction continues only while it is."""
         self._state = state
         self._is_idle = is_idle
         self._max_read_delay_us = max_read_delay_us
         self._last_run = 0
 
     def run(self, now: int) -> None:
-        """Reclaim space, unless that was done a moment ago or the disk fails."""
+        """Reclaim space, unless the disk fails or the last attempt was less than `INTERVAL_US` ago."""
         state = self._state
         if now - self._last_run < INTERVAL_US or state.is_failing:
             return
@@ -36,6 +36,6 @@
             while state.log.compact_step(state.index, now) and self._is_idle():
                 pass
         except OSError as error:
-            state.log.stop_compacting()  # the segment that is being written is not at fault
+            state.log.stop_compacting()  # the current segment is not affected and stays in use
             logger.warning("reclaiming disk space failed: %s", error)
         state.measure_disk(now)
--- a/cairnvane/idempotency/durable/start_records.py
+++ b/cairnvane/idempotency/durable/start_records.py
@@ -1,4 +1,4 @@
-"""Where the start records stand of runs without a recorded end. No I/O, no clock."""
+"""Tracks the start records of runs without a recorded end. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class StartRecords:
-    """The segment and size of each start record that still counts; it keeps account of dead bytes."""
+    """The segment and size of each live start record. Counts the bytes of superseded records."""
 
     def __init__(self) -> None:
         self._by_key: dict[bytes, tuple[Segment, int]] = {}
 
     def __contains__(self, key: bytes) -> bool:
-        """Whether the run of this key has no recorded end."""
+        """Whether the key has a started run without a recorded end."""
         return key in self._by_key
 
     def restore(self, runs: Mapping[bytes, Run]) -> None:
-        """Take over the runs that recovery has found."""
+        """Start from the runs that recovery has found."""
         self._by_key = {key: (run[0], run[1]) for key, run in runs.items()}
 
-    def appended(self, step: Step, key: bytes, segment: Segment, size: int) -> None:
-        """A record was appended: count the bytes that nobody needs any more because of it."""
+    def record_appended(self, step: Step, key: bytes, segment: Segment, size: int) -> None:
+        """A record was appended: count the bytes that it supersedes."""
         if step is Step.INTENT:
             if key in self._by_key:
                 segment.superseded_bytes += size
@@ -39,7 +39,7 @@
                 start_segment.superseded_bytes += start_size
 
     def segment_replaced(self, old: Segment, new: Segment) -> None:
-        """A segment was compacted."""
+        """A segment was compacted: its start records are in `new` now."""
         for key, (segment, size) in self._by_key.items():
             if segment is old:
                 self._by_key[key] = (new, size)
--- a/cairnvane/idempotency/durable/state.py
+++ b/cairnvane/idempotency/durable/state.py
@@ -1,4 +1,4 @@
-"""What the store's caller and its writer thread share."""
+"""The state that the store shares with its writer thread."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 class StoreState:
     """The contents of the store and how full it is.
 
-    `lock` guards all fields but `is_failing` and `writing_since`: these two are set by the writer thread
-    alone and read without the lock.
+    `lock` guards all fields except `is_failing` and `writing_since`, which only the writer thread sets and
+    which are read without the lock.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         self.index = index
         self.log = log
         self.progress = retention.NoticeProgress()
-        self.open_keys = 0  # keys that were reserved and of which no end is recorded
+        self.open_keys = 0  # keys that were reserved and have no recorded end
         self.queued_bytes = 0
         self.disk_bytes = 0
         self.first_drop_at: int | None = None  # when the oldest segment can be dropped
@@ -52,34 +52,36 @@
         now = clock.now()
         since = self.writing_since
         with self.lock:
-            first_end = self.index.time_to_oldest_expiry(now)
+            time_to_first_expiry = self.index.time_to_oldest_expiry(now)
             load = retention.Load(
                 ready=self.is_ready,
                 failing=self.is_failing,
                 writing_for=now - since if since else 0,
                 entries=len(self.index),
                 max_entries=self.index.capacity,
-                first_end=None if first_end is None else first_end + self._max_read_delay_us,
+                time_to_first_expiry=None
+                if time_to_first_expiry is None
+                else time_to_first_expiry + self._max_read_delay_us,
                 open_keys=self.open_keys,
                 disk=self.disk_bytes,
                 max_disk_bytes=self._max_disk_bytes,
-                first_drop=None if self.first_drop_at is None else max(0, self.first_drop_at - now),
+                time_to_first_drop=None if self.first_drop_at is None else max(0, self.first_drop_at - now),
                 queued=self.queued_bytes,
                 max_queued_bytes=self._max_queued_bytes,
             )
-        return retention.wait_us(load)
+        return retention.capacity_wait_us(load)
 
     def measure_disk(self, now: int) -> None:
-        """Take over from the log what it occupies, and when its oldest segment can be dropped."""
-        first_drop = self.log.first_drop(now)
+        """Update the disk usage and the time at which the oldest segment can be dropped."""
+        time_to_first_drop = self.log.time_to_first_drop(now)
         with self.lock:
             self.disk_bytes = self.log.size
-            self.first_drop_at = None if first_drop is None else now + first_drop
+            self.first_drop_at = None if time_to_first_drop is None else now + time_to_first_drop
 
     def read_result(self, key: bytes, fingerprint: bytes) -> bytes | None:
-        """Read a stored result; None if it is not available. Waits for the disk.
+        """Read a stored result; None if it is not available. Blocks on the disk.
 
-        The place of the result is looked up here, since a compaction may have moved it.
+        The location of the result is looked up here, since a compaction may have moved the record.
         """
         with self.lock:
             found = self.index.get(key)
@@ -88,5 +90,5 @@
         try:
             return self.log.fetch(found.word, key, fingerprint)
         except OSError as error:
-            logger.warning("a stored result is not readable: key=%s cause=%s", key.hex(), error)
+            logger.warning("reading a stored result failed: key=%s cause=%s", key.hex(), error)
             return None
--- a/cairnvane/idempotency/durable/step_reporter.py
+++ b/cairnvane/idempotency/durable/step_reporter.py
@@ -1,4 +1,4 @@
-"""Tells an observer, if there is one, of each named step of the store's work."""
+"""Reports the named steps of the store's work to an observer, if there is one."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class StepReporter:
-    """The steps are "recovery", "rotation", "drop", "compaction" and "compacted".
+    """Reports steps by name.
 
-    Those of a group of records are "append", "written" and "synced", each followed by the kind of a record in
-    the group.
+    The steps that concern the folder are "recovery", "rotation", "drop", "compaction" and "compacted". Those
+    of a group of records are "append", "written" and "synced", each followed by the kind of a record in the
+    group.
     """
 
     def __init__(self, observer: StepObserver | None) -> None:
--- a/cairnvane/idempotency/durable/storage.py
+++ b/cairnvane/idempotency/durable/storage.py
@@ -1,4 +1,4 @@
-"""The disk below the log: a small protocol, and its implementation on the files of the system."""
+"""The file operations that the log needs: a protocol, and its implementation on the operating system."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from ... import clock
 from .errors import FolderInUseError
 
-# Segments hold the results of clients: no other user of the machine may read them.
+# Segments hold the results of clients, which no other user of the machine may read.
 FILE_MODE = 0o600
 FOLDER_MODE = 0o700
 LOCK = "lock"
@@ -23,13 +23,13 @@
 
 
 class Handle(Protocol):
-    """A file that is being written."""
+    """A file that is open for appending."""
 
     def write(self, data: bytes) -> None:
-        """Append all of it, or raise `OSError`."""
+        """Append all of `data`, or raise `OSError`."""
 
     def sync(self) -> None:
-        """Have what was written survive a power cut. After an `OSError` none of it counts."""
+        """Make the written data survive a power cut. After an `OSError` none of it may be relied on."""
 
     def close(self) -> None:
         """Close the file; never raises."""
@@ -39,13 +39,13 @@
     """The files of one folder. Every method may raise `OSError`."""
 
     def names(self) -> list[str]:
-        """The names in the folder."""
+        """The names of the files in the folder."""
 
     def size(self, name: str) -> int:
         """The size of a file in bytes."""
 
     def create(self, name: str) -> Handle:
-        """Create a file; one of that name must not exist."""
+        """Create a file; no file of that name may exist."""
 
     def read(self, name: str, offset: int, length: int) -> bytes:
         """Read as many of these bytes as there are."""
@@ -54,30 +54,30 @@
         """Shorten a file."""
 
     def replace(self, name: str, by: str) -> None:
-        """Give file `by` this name, in one step."""
+        """Atomically rename the file `by` to `name`, which it replaces."""
 
     def remove(self, name: str) -> None:
         """Delete a file."""
 
     def sync_folder(self) -> None:
-        """Have new, renamed and deleted names survive a power cut."""
+        """Make created, renamed and deleted names survive a power cut."""
 
 
 class Folder(Files, Protocol):
-    """A folder that one process owns at a time."""
+    """A folder that at most one process owns at a time."""
 
     def make(self) -> None:
         """Create the folder if it is not there."""
 
     def lock(self) -> None:
-        """Own the folder; `FolderInUseError` if another process does."""
+        """Take ownership of the folder; `FolderInUseError` if another process has it."""
 
     def unlock(self) -> None:
         """Give up ownership."""
 
 
 class ReadOnlyFiles:
-    """A folder that another process owns: it is read and never changed."""
+    """The files of a folder that another process owns, for reading only."""
 
     def __init__(self, files: Files) -> None:
         self.names = files.names
@@ -89,13 +89,13 @@
         raise AssertionError(f"{name}: the folder belongs to another process")
 
     def cut(self, name: str, size: int) -> None:
-        """Do nothing: what seems torn is being written."""
+        """Do nothing: what looks like a torn write may be in progress."""
 
     def replace(self, name: str, by: str) -> None:
         """Do nothing: nothing is compacted."""
 
     def remove(self, name: str) -> None:
-        """Do nothing: what seems left over is being written."""
+        """Do nothing: what looks like a leftover file may be in use."""
 
     def sync_folder(self) -> None:
         """Do nothing: nothing was changed."""
@@ -107,7 +107,7 @@
 
 
 def segment_number(name: str) -> int | None:
-    """The number of the segment in a file of this name; None if that is no segment."""
+    """The number of the segment with this file name; None if it is not the name of a segment."""
     found = _SEGMENT.fullmatch(name)
     return int(found[1], 16) if found else None
 
@@ -115,7 +115,7 @@
 def boot_id() -> bytes:
     """The 16 bytes that identify this boot of the machine.
 
-    Where the system reports none, each process counts as a boot of its own: keys are then kept a little
+    If the system reports no boot id, each process counts as a separate boot: keys are then kept a little
     longer than necessary.
     """
     boot = clock.boot_id()
@@ -123,7 +123,7 @@
 
 
 class _OsHandle:
-    """A file of the system that is being written."""
+    """A file of the operating system that is open for appending."""
 
     def __init__(self, fd: int) -> None:
         self._fd = fd
@@ -143,7 +143,7 @@
 
 
 class OsFiles:
-    """A folder of the system; `lock` makes it this process's own until that ends, in whatever way."""
+    """A folder of the operating system. A lock on it is released when the process ends, however it ends."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -154,7 +154,7 @@
         self._folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
 
     def lock(self) -> None:
-        """Own the folder, or raise `FolderInUseError`. Does nothing if this process owns it."""
+        """Take ownership, or raise `FolderInUseError`. Does nothing if this process owns the folder."""
         if self._lock is not None:
             return
         path = self._folder / LOCK
@@ -175,7 +175,7 @@
             self._lock = None
 
     def names(self) -> list[str]:
-        """The names in the folder."""
+        """The names of the files in the folder."""
         return [path.name for path in self._folder.iterdir()]
 
     def size(self, name: str) -> int:
@@ -200,7 +200,7 @@
         os.truncate(self._folder / name, size)
 
     def replace(self, name: str, by: str) -> None:
-        """Give file `by` this name, in one step."""
+        """Atomically rename the file `by` to `name`, which it replaces."""
         (self._folder / by).replace(self._folder / name)
 
     def remove(self, name: str) -> None:
@@ -208,7 +208,7 @@
         (self._folder / name).unlink()
 
     def sync_folder(self) -> None:
-        """Have new, renamed and deleted names survive a power cut."""
+        """Make created, renamed and deleted names survive a power cut."""
         fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
--- a/cairnvane/idempotency/durable/store.py
+++ b/cairnvane/idempotency/durable/store.py
@@ -1,10 +1,10 @@
-"""The durable store of idempotency keys and results: what the server asks of it.
+"""The durable store of idempotency keys and results, as the server uses it.
 
 The server thread sends messages to the writer thread (`writer`) and never waits for a disk. The writer takes
-all messages that have come by now, writes their records in one write, syncs them where a power cut has to be
-survived, and only then notifies. If the disk fails, all that was not synced is kept and written again to a
-new segment as soon as the disk takes it. Until then no new key can be stored (`capacity_wait_us`), and
-requests in flight wait for their records or for their deadlines.
+all messages in its queue, writes their records in one write, syncs them if they have to survive a power cut,
+and only then calls the callbacks. If the disk fails, all records that were not synced are kept, and are
+written again to a new segment once the disk works. Until then no new key can be stored (`capacity_wait_us`),
+and requests in flight wait for their records or for their deadlines.
 """
 
 from __future__ import annotations
@@ -27,8 +27,7 @@
 from .group_writer import GroupWriter, queued_size
 from .index import Index
 from .messages import FetchResult, WriteRecord
-from .segment_log import Entry, Owner, SegmentLog
-from .segment_log import check as check_folder
+from .segment_log import Entry, Owner, SegmentLog, check_folder
 from .state import StoreState
 from .step_reporter import StepReporter
 from .storage import Files, Folder
@@ -36,12 +35,12 @@
 
 logger = logging.getLogger(__name__)
 
-# The previous process may hold the folder a moment after its end.
+# How long to wait for the lock, which the previous process may hold for a moment after it has ended.
 LOCK_TIMEOUT_S = 2.0
 
 
 class DurableStore:
-    """An `IdempotencyStore` on a folder of its own; `StepReporter` names the steps that it reports."""
+    """An `IdempotencyStore` on a folder of its own."""
 
     synchronous = False
 
@@ -57,10 +56,11 @@
         max_read_delay_us: int,
         step_observer: StepObserver | None = None,
     ) -> None:
-        """A store of instance `name` in a folder, under the machine's boot id `boot`.
+        """A store for the instance `name`; `boot` is the id of the machine's current boot.
 
-        `power`: results survive a power cut. `max_read_delay_us`: the longest time between the arrival of a
-        duplicate and its being read. `step_observer` is called with the name of each step.
+        `power`: whether results have to survive a power cut. `max_read_delay_us`: the longest time between
+        the arrival of a duplicate and its being read. `step_observer` is called with the name of each step,
+        see `StepReporter`.
         """
         max_queued_bytes = int(retention.QUEUE_SHARE * memory_bytes)
         index_bytes = memory_bytes - max_queued_bytes
@@ -98,7 +98,7 @@
         )
 
     def check(self, allow_concurrent: bool = False) -> None:
-        """Lock the folder; raise `FolderError` if another instance or another process owns it.
+        """Lock the folder; raise `FolderError` if another instance, process or a newer version uses it.
 
         With `allow_concurrent`, another process may own the folder: it serves concurrently with this one. A
         disk that fails is no error, since it may work again later.
@@ -134,8 +134,8 @@
     ) -> None:
         """See `IdempotencyStore`.
 
-        `wait_for_owner` is called once if another process owns the folder, after what that has recorded so
-        far was read: whether to wait for the folder.
+        `wait_for_owner` is called once if another process owns the folder, after the records that it has
+        written so far were read. It returns whether to wait for the folder.
         """
         self._writer.start(StoreCallbacks(recovered, delayed, lost, wait_for_owner))
 
@@ -168,7 +168,7 @@
     def record_call(self, key: bytes, expires_at: int, notice: int, then: Callable[[], None]) -> None:
         """See `IdempotencyStore`.
 
-        A power cut ends the worker pool and with it the run, so this record need not survive one.
+        A power cut ends the worker pool and with it the run, so this record need not survive it.
         """
         entry = Entry(Step.CALL, key, clock.now(), expires_at, records.encode_call(notice))
         self._write(entry, then, settles=(notice,), needs_sync=False)
@@ -191,7 +191,7 @@
     def notice_read(self, notice: int, pending: bool) -> None:
         """See `IdempotencyStore`."""
         with self._state.lock:
-            self._state.progress.read(notice, pending)
+            self._state.progress.notice_read(notice, pending)
 
     def pool_linked(self, pool_started_at: int) -> None:
         """See `IdempotencyStore`."""
@@ -225,14 +225,14 @@
             return self._state.index.get(key) is not None
 
     def settle_notices(self, settles: tuple[int, ...]) -> None:
-        """The effect of these notices is recorded elsewhere."""
+        """Mark notices as settled: their effects are recorded elsewhere."""
         with self._state.lock:
-            self._state.progress.written(settles)
+            self._state.progress.record_written(settles)
 
     def read_unowned_result(self, key: bytes, fingerprint: bytes) -> bytes | None:
         """Read a result from a folder that another process owns; None if it is not available.
 
-        Waits for the disk.
+        Blocks on the disk.
         """
         return self._state.read_result(key, fingerprint)
 
@@ -241,8 +241,9 @@
         self._writer.send(FetchResult(key, fingerprint, then))
 
     def call_after_writes(self, then: Callable[[], None]) -> None:
-        """Call `then` once all records that were handed over before are written."""
-        # The writer thread answers in order, after the writes: a fetch of no key does nothing else.
+        """Call `then` once all records that were sent before are written."""
+        # The writer thread answers fetches in order, after the writes. This fetch finds nothing: no record of
+        # an end has the key `NO_KEY`.
         self.fetch_result(records.NO_KEY, records.NO_KEY, lambda result: then())
 
     def close(self) -> None:
--- a/cairnvane/idempotency/durable/takeover_store.py
+++ b/cairnvane/idempotency/durable/takeover_store.py
@@ -1,10 +1,9 @@
-"""The durable log and the claim log together: stored results, and concurrent incarnations of the server.
+"""Combines the durable log with the claim log, for concurrent incarnations of the server.
 
-The durable log has one writer at a time. An incarnation that finds its folder owned by another process
-serves on the claim log alone, which lies in that folder too, and learns what was stored before by reading the
-durable log. Once it owns the folder, what the claim log knows beyond the durable log is entered there
-(`ClaimTransfer`), and from then on both are written: the claim log for concurrent incarnations, the durable
-log for those that come after all of them.
+The durable log has one writer at a time. An incarnation whose folder is owned by another process writes only
+the claim log, which is in the same folder, and reads the durable log for results that were stored before.
+Once it owns the folder, it copies what is only in the claim log to the durable log (`ClaimTransfer`). From
+then on it writes both: the claim log for concurrent incarnations, the durable log for later ones.
 """
 
 from __future__ import annotations
@@ -27,32 +26,33 @@
 
 logger = logging.getLogger(__name__)
 
-# A sync of the claim log that failed is retried after this long; whoever waits has a deadline of its own.
+# The delay before a failed sync of the claim log is retried. Requests that wait for it have their own
+# deadlines.
 SYNC_RETRY_S = 0.05
 
 
 class TakeoverStore:
-    """An `IdempotencyStore` on a durable log and a claim log."""
+    """An `IdempotencyStore` that uses a durable log and a claim log."""
 
     synchronous = False
 
     def __init__(
-        self, store: DurableStore, claim_log: ClaimLog, folder: Path, own: Path, *, power: bool
+        self, store: DurableStore, claim_log: ClaimLog, folder: Path, own_path: Path, *, power: bool
     ) -> None:
-        """`folder` is that of the durable log, and `own` this boot's claim log in it.
+        """`folder` is the folder of the durable log, and `own_path` this boot's claim log in it.
 
-        `power`: results survive a power cut.
+        `power`: whether results have to survive a power cut.
         """
         self._store = store
         self._claim_log = claim_log
         self._power = power
-        # Guards `_is_owner` and `_deferred`: the server thread writes to the durable log or defers, and the
-        # writer thread takes the folder over.
+        # Guards `_is_owner` and `_deferred`: the server thread writes records to the durable log or defers
+        # them, and the writer thread takes over the folder.
         self._lock = threading.RLock()
-        self._is_owner = False  # this process owns the folder, and all claims were transferred
+        self._is_owner = False  # this process owns the folder and has transferred all claims
         self._found_owned = False  # another process owned the folder at the start
         self._deferred = DeferredRecords()
-        self._transfer = ClaimTransfer(store, claim_log, folder, own, self._deferred)
+        self._transfer = ClaimTransfer(store, claim_log, folder, own_path, self._deferred)
         self._tasks = BackgroundTasks("takeover-tasks")
 
     def start(
@@ -70,7 +70,7 @@
     # --- taking over the folder, in the writer thread
 
     def _folder_owned_elsewhere(self) -> bool:
-        """Serve concurrently with the owner of the folder, if it writes a claim log; whether it does."""
+        """Serve concurrently with the owner of the folder; returns False if the owner writes no claim log."""
         if self._claim_log.is_alone():
             return False
         self._found_owned = True
@@ -79,19 +79,19 @@
         return True
 
     def _folder_recovered(self, recovered: RecoveredState) -> None:
-        """This process owns the folder, and all is read."""
+        """This process owns the folder and has read it: transfer the claims, and write to it from now on."""
         with self._lock:
             self._deferred.reserve_in(self._store)
             unfinished = self._transfer.run(recovered)
             self._deferred.settle_in(self._store)
             self._is_owner = True
         if not self._found_owned:
-            # Reported once the transferred records are written: then they can be looked up.
+            # Reported once the transferred records are written, since they can be looked up only then.
             state = replace(recovered, started_runs=unfinished)
             self._store.call_after_writes(lambda: self._recovered(state))
             return
         logger.info("this process owns the folder now")
-        for run in unfinished:  # of the incarnation that owned the folder; its worker pool was another
+        for run in unfinished:  # of the previous owner of the folder, which had another worker pool
             self._store.record_end(run.key, run.expires_at, run.fingerprint, None, (), ignore_written)
 
     # --- requests, in the server thread
@@ -122,7 +122,7 @@
     def record_start(
         self, run: StartedRun, then: Callable[[], None], not_started: Callable[[bool], None], /
     ) -> None:
-        """See `IdempotencyStore`. Positional only: the testbed replaces it by functions of its own."""
+        """See `IdempotencyStore`. Positional-only, since the testbed replaces this method by a function."""
         self._claim_log.record_start(
             run,
             lambda: self._start_claimed(run, then),
@@ -148,7 +148,7 @@
             if self._is_owner:
                 self._store.record_never_started(key, expires_at, settles)
                 return
-            self._deferred.run_over(key, settles)
+            self._deferred.run_ended(key, settles)
 
     def record_call(self, key: bytes, expires_at: int, notice: int, then: Callable[[], None]) -> None:
         """See `IdempotencyStore`."""
@@ -156,7 +156,7 @@
             if self._is_owner:
                 self._store.record_call(key, expires_at, notice, then)
                 return
-            self._deferred.call_made(key, notice)
+            self._deferred.call_recorded(key, notice)
         then()
 
     def record_end(
@@ -169,13 +169,13 @@
         then: Callable[[], None],
         /,
     ) -> None:
-        """See `IdempotencyStore`. Positional only, as `record_start`."""
+        """See `IdempotencyStore`. Positional-only, as `record_start`."""
         self._claim_log.record_end(key, expires_at, fingerprint, result, settles, ignore_written)
         with self._lock:
             if self._is_owner:
                 self._store.record_end(key, expires_at, fingerprint, result, settles, then)
                 return
-            self._deferred.run_over(key, settles)
+            self._deferred.run_ended(key, settles)
         self._call_when_durable(then)
 
     def notice_read(self, notice: int, pending: bool) -> None:
@@ -196,7 +196,7 @@
     def look_up(self, key: bytes, fingerprint: bytes, arrived_at: int) -> StoredEntry | None:
         """See `IdempotencyStore`.
 
-        The durable log is asked first: it may know the end of a run whose incarnation has died.
+        The durable log is searched first: it may have the end of a run whose incarnation has died.
         """
         stored = self._store.look_up(key, fingerprint, arrived_at)
         return stored or self._claim_log.look_up(key, fingerprint, arrived_at)
@@ -222,7 +222,7 @@
     # --- syncing the claim log, while another process owns the folder
 
     def _call_when_durable(self, then: Callable[[], None]) -> None:
-        """Call `then` once the claim log survives what it has to survive."""
+        """Call `then` once the claim log is synced, if it has to survive a power cut; otherwise at once."""
         if self._power:
             self._tasks.add(lambda: self._sync_claims(then))
         else:
--- a/cairnvane/idempotency/durable/verify.py
+++ b/cairnvane/idempotency/durable/verify.py
@@ -1,4 +1,4 @@
-"""What the command line does with a folder of a durable log: `verify`, `show` and `compact`."""
+"""The commands on the folder of a durable log: `verify`, `show` and `compact`."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 from . import records
 from .index import BYTES_PER_ENTRY, Index
 from .segment_log import Owner, SegmentLog
-from .segment_reader import Report, blocks, read_segment, segment_names
+from .segment_reader import Report, read_header, read_records, segment_names
 from .storage import OsFiles, boot_id
 
-# How many keys a folder holds is not known before it is read. Memory is touched only as the index fills.
+# Sized for 4 million keys, since the number of keys in a folder is not known before it is read. The system
+# provides the memory only as the index fills.
 _INDEX_BYTES = 4_000_000 * BYTES_PER_ENTRY
-# How much later than it arrived a duplicate may be read, where no settings say so.
+# The longest time between the arrival of a duplicate and its being read, as there are no settings here.
 MAX_READ_DELAY_US = 60_000_000
 
 
 @dataclass(slots=True)
 class VerificationReport:
-    """What `verify` has found."""
+    """The findings of `verify`."""
 
     report: Report = field(default_factory=Report)
     records: int = 0
@@ -35,7 +36,7 @@
         return bool(self.report.damaged or self.report.foreign or self.illegal)
 
     def lines(self) -> list[str]:
-        """The report, for people."""
+        """The report as lines of text."""
         report = self.report
         named = [
             ("damaged", report.damaged),
@@ -57,55 +58,59 @@
 
     state: KeyState
     header: records.Header  # of the segment of its last record
-    at: int  # when its last record was made
-    until: int
-    detail: dict[str, str]
+    recorded_at: int  # the time of its last record
+    expires_at: int
+    detail: dict[str, str]  # further columns of `show`
 
 
-def _read(files: OsFiles, found: VerificationReport) -> dict[bytes, _Key]:
+def _read_keys(files: OsFiles, verification: VerificationReport) -> dict[bytes, _Key]:
     """The state of every key, expired or not."""
     keys: dict[bytes, _Key] = {}
     for number, name in segment_names(files):
-        header = read_segment(files, number, name, found.report)
+        header = read_header(files, number, name, verification.report)
         if header is None:
             continue
-        end = records.HEADER_BYTES
+        end_offset = records.HEADER_BYTES
         damages = []
-        for item in blocks(files, name, header):
+        for item in read_records(files, name, header):
             if isinstance(item, records.Damage):
                 damages.append(item)
                 continue
             kind, offset, payload = item
-            found.records += 1
-            end = offset + records.HEAD_BYTES + len(payload)
-            _apply(keys, header, records.parse_record(kind, payload), found)
-        found.report.take(name, damages, end)
+            verification.records += 1
+            end_offset = offset + records.HEAD_BYTES + len(payload)
+            _apply(keys, header, records.parse_record(kind, payload), verification)
+        verification.report.add_damage(name, damages, end_offset)
     return keys
 
 
 def _apply(
-    keys: dict[bytes, _Key], header: records.Header, record: records.Record, found: VerificationReport
+    keys: dict[bytes, _Key], header: records.Header, record: records.Record, verification: VerificationReport
 ) -> None:
-    """Apply a record to the state of its key."""
+    """Update the state of the record's key."""
     if record.step is Step.LINK:
         return
     previous = keys.get(record.key)
     state = KeyState.UNKNOWN if previous is None else previous.state
-    # A key may come again once it has expired.
-    if previous is not None and previous.header.boot == header.boot and previous.until <= record.recorded_at:
+    # A key may be used again once it has expired.
+    if (
+        previous is not None
+        and previous.header.boot == header.boot
+        and previous.expires_at <= record.recorded_at
+    ):
         previous = None
         state = KeyState.AGED
     try:
         next_state = states.advance(state, record.step)
     except states.IllegalStepError as error:
-        found.illegal.append(f"{record.key.hex()}: {error}")
+        verification.illegal.append(f"{record.key.hex()}: {error}")
         return
     detail = _detail(record, {} if previous is None else previous.detail)
     keys[record.key] = _Key(next_state, header, record.recorded_at, record.expires_at, detail)
 
 
 def _detail(record: records.Record, previous: dict[str, str]) -> dict[str, str]:
-    """What is shown of a key in addition to its state."""
+    """The columns of `show` that depend on the records of the key."""
     if record.step is Step.INTENT:
         start = records.parse_start(record.own_part)
         return {"uid": start.uid, "class": start.class_name}
@@ -115,22 +120,22 @@
 
 
 def verify(files: OsFiles) -> VerificationReport:
-    """Read everything. Nothing is changed, and a server may use the folder meanwhile."""
-    found = VerificationReport()
-    for key in _read(files, found).values():
+    """Read all segments. Changes nothing, and may run while a server uses the folder."""
+    verification = VerificationReport()
+    for key in _read_keys(files, verification).values():
         name = key.state.name.lower()
-        found.keys[name] = found.keys.get(name, 0) + 1
-    return found
+        verification.keys[name] = verification.keys.get(name, 0) + 1
+    return verification
 
 
 def show(files: OsFiles) -> Iterator[dict[str, str]]:
-    """A row for each key, oldest first."""
+    """Yield a row for each key, oldest first."""
     now = clock.now()
     boot = boot_id()
-    for token, key in _read(files, VerificationReport()).items():
+    for token, key in _read_keys(files, VerificationReport()).items():
         is_this_boot = key.header.boot == boot
-        time_left = f"{max(0, key.until - now) / 1e6:.1f}" if is_this_boot else "of an earlier boot"
-        unix_s = key.header.unix_ms / 1e3 + (key.at - key.header.at) / 1e6
+        time_left = f"{max(0, key.expires_at - now) / 1e6:.1f}" if is_this_boot else "of an earlier boot"
+        unix_s = key.header.unix_ms / 1e3 + (key.recorded_at - key.header.at) / 1e6
         yield {
             "token": token.hex(),
             "state": key.state.name.lower(),
@@ -141,11 +146,11 @@
 
 
 def compact(files: OsFiles) -> tuple[int, int]:
-    """Rewrite all segments without what no longer counts; returns the bytes before and after.
+    """Drop expired segments and rewrite the others without dead records; returns the bytes before and after.
 
-    A file that is no segment is left alone, as a server does.
+    A file that is not a segment is not changed, as when a server runs.
     """
-    headers = (read_segment(files, number, name, Report()) for number, name in segment_names(files))
+    headers = (read_header(files, number, name, Report()) for number, name in segment_names(files))
     first = next((header for header in headers if header is not None), None)
     if first is None:
         return 0, 0
--- a/cairnvane/idempotency/durable/writer.py
+++ b/cairnvane/idempotency/durable/writer.py
@@ -18,16 +18,16 @@
 
 logger = logging.getLogger(__name__)
 
-# The most records that share a write; at any load observed they are far fewer.
+# The maximum number of records in one write; far fewer were seen at any load.
 MAX_GROUP = 256
-# A writer without messages reclaims space this often.
+# The interval at which a writer without messages reclaims space.
 IDLE_CHECK_S = 1.0
-# When the process ends, pending records have this long to be written.
+# The time for writing pending records when the store is closed.
 CLOSE_TIMEOUT_S = 1.0
 
 
 class _Batch(NamedTuple):
-    """The messages that have come by now."""
+    """The messages that were in the queue, by kind."""
 
     writes: list[WriteRecord]
     fetches: list[FetchResult]
@@ -35,7 +35,7 @@
 
 
 class StoreWriter:
-    """The thread that alone writes the folder."""
+    """The writer thread, the only one that writes to the folder."""
 
     def __init__(
         self,
@@ -62,11 +62,11 @@
         self._thread.start()
 
     def send(self, message: Message) -> None:
-        """Hand a message to the thread. From any thread."""
+        """Send a message to the writer thread. May be called from any thread."""
         self._queue.put(message)
 
     def close(self) -> None:
-        """Write what is pending, for a bounded time."""
+        """Write pending records, for at most `CLOSE_TIMEOUT_S`."""
         self._stop.set()
         self._queue.put(CloseWriter())
         self._thread.join(CLOSE_TIMEOUT_S)
@@ -76,7 +76,9 @@
             if self._recovery.run(self._callbacks):
                 while self._serve():
                     pass
-        except Exception as error:  # of any kind: without this thread no keyed request is ever answered
+        except (
+            Exception
+        ) as error:  # any error must be reported: without this thread no keyed request is answered
             logger.error(STORE_WRITER_ENDED, type(error).__name__, error)
             self._state.is_failing = True
             self._callbacks.lost(f"{type(error).__name__} {error}")
@@ -84,7 +86,7 @@
             self._files.unlock()
 
     def _serve(self) -> bool:
-        """Process one batch of messages; False at the end."""
+        """Process one batch of messages; False if the store is being closed."""
         try:
             first = self._queue.get(timeout=IDLE_CHECK_S)
         except Empty:
@@ -101,7 +103,7 @@
         return True
 
     def _gather(self, first: Message) -> _Batch:
-        """All messages that have come by now."""
+        """The first message and those that are in the queue by now."""
         writes: list[WriteRecord] = []
         fetches: list[FetchResult] = []
         message = first
@@ -123,4 +125,4 @@
         try:
             self._state.log.close()
         except OSError as error:
-            logger.error("closing the log failed, the last records may be lost: %s", error)
+            logger.error("closing the log failed; the last records may be lost: %s", error)
--- a/tests/idempotency/test_durable_disk_errors.py
+++ b/tests/idempotency/test_durable_disk_errors.py
@@ -62,7 +62,7 @@
     if bound == "memory":
         servers.entries = 64
     else:
-        servers.disk_bytes = 40 * retention.KEY_BYTES
+        servers.disk_bytes = 40 * retention.MAX_KEY_BYTES
     with servers.run(KeyKb=0.01) as server:
         balancer = server.balancer()
         stored = 0
--- a/tests/idempotency/test_durable_log.py
+++ b/tests/idempotency/test_durable_log.py
@@ -25,7 +25,7 @@
 from cairnvane.idempotency.durable import index as key_index
 from cairnvane.idempotency.durable import records
 from cairnvane.idempotency.durable.errors import FolderError
-from cairnvane.idempotency.durable.segment_log import check
+from cairnvane.idempotency.durable.segment_log import check_folder
 from cairnvane.idempotency.durable.storage import segment_name
 from cairnvane.testbed.stand_ins.disk import Disk
 
@@ -126,7 +126,7 @@
         header = header[:8] + change["version"].to_bytes(2, "little") + header[10:]
     disk = Disk({segment_name(1): header})
     with pytest.raises(FolderError, match=expected):
-        check(disk, "n1")
+        check_folder(disk, "n1")
     with pytest.raises(FolderError, match=expected):
         Driver(disk)
     assert disk.content() == {segment_name(1): header}
--- a/tests/idempotency/test_durable_notices.py
+++ b/tests/idempotency/test_durable_notices.py
@@ -118,4 +118,4 @@
     store.notice_read(6, False)
     disk.gate.set()
     store.close()
-    assert store._state.progress.pos == 4
+    assert store._state.progress.settled_notice == 4
--- a/tests/idempotency/test_durable_restarts.py
+++ b/tests/idempotency/test_durable_restarts.py
@@ -8,7 +8,7 @@
 from durable_servers import BOOT, KEYED, OTHER_BOOT, Servers, served
 from peers import WAIT_S, reply
 
-from cairnvane.idempotency.durable.retention import AWAY_US
+from cairnvane.idempotency.durable.retention import UNAVAILABLE_RETRY_US
 
 pytestmark = pytest.mark.usefixtures("killed_writers")
 
@@ -147,5 +147,5 @@
     servers = Servers()
     with servers.run(pos=None, hold=True) as server:
         answer = served(server, server.balancer(), 1)
-        assert (answer.status, int(answer.headers["Srv-Wait-Ms"])) == (503, AWAY_US // 1_000)
+        assert (answer.status, int(answer.headers["Srv-Wait-Ms"])) == (503, UNAVAILABLE_RETRY_US // 1_000)
         servers.go_on.set()
