--- a/cairnvane/idempotency/durable/compaction.py
+++ b/cairnvane/idempotency/durable/compaction.py
@@ -1,4 +1,7 @@
-"""Rewrites one segment without its dead records. Reads no clock."""
+"""Rewrites one segment without its dead records: those that have expired or were superseded.
+
+Reads no clock.
+"""
 
 from __future__ import annotations
 
--- a/cairnvane/idempotency/durable/group_writer.py
+++ b/cairnvane/idempotency/durable/group_writer.py
@@ -83,9 +83,8 @@
         entries = []
         with state.lock:
             for write in group:
-                write.progress.record_written(
-                    write.settles
-                )  # `progress` may be that of an earlier worker pool
+                # The progress of the record may be that of an earlier worker pool.
+                write.progress.record_written(write.settles)
                 write.entry.settled_notice = state.progress.settled_notice
                 entries.append(write.entry)
         return entries
--- a/tests/durable_servers.py
+++ b/tests/durable_servers.py
@@ -1,4 +1,4 @@
-"""One server after the other on one durable store, with kills at named steps."""
+"""Starts servers one after the other on one durable store, and kills them at named steps."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
 
 class Killed(BaseException):
-    """The process has ended at this step, as far as its writer thread knows."""
+    """Raised in the writer thread to simulate that the process was killed at this step."""
 
 
 @dataclass
 class Servers:
-    """One server after the other on one folder; the worker pool outlives them unless it is restarted."""
+    """Servers on one folder, one after the other; the worker pool runs on unless it is restarted."""
 
     disk: Disk = field(default_factory=Disk)
     pool: PoolPeer = field(default_factory=PoolPeer)
     boot: bytes = BOOT
     power: bool = False
-    kill_at: tuple[str, int] | None = None  # a named step, and how often it is passed before
+    kill_at: tuple[str, int] | None = None  # the name of a step, and how many times it is passed first
     killed: threading.Event = field(default_factory=threading.Event)
     recovering: threading.Event = field(default_factory=threading.Event)
-    go_on: threading.Event = field(default_factory=threading.Event)
+    may_recover: threading.Event = field(default_factory=threading.Event)
     disk_bytes: int = 8 << 20
     entries: int | None = None  # the capacity of the index
 
     def _step(self, name: str) -> None:
         if name == "recovery":
             self.recovering.set()
-            assert self.go_on.wait(WAIT_S)
+            assert self.may_recover.wait(WAIT_S)
         if self.kill_at is not None and self.kill_at[0] == name:
             if self.kill_at[1] == 0:
                 self.killed.set()
@@ -50,9 +50,11 @@
             self.kill_at = name, self.kill_at[1] - 1
 
     @contextlib.contextmanager
-    def run(self, *replies: bytes, pos: int | None = 0, hold: bool = False, **extra: Any) -> Iterator[World]:
-        """A server from its start to its end, of which it notifies nobody; `hold` stops its recovery."""
-        (self.go_on.clear if hold else self.go_on.set)()
+    def run(
+        self, *replies: bytes, pos: int | None = 0, hold_recovery: bool = False, **extra: Any
+    ) -> Iterator[World]:
+        """Run a server, which sends no notice when it ends; `hold_recovery` pauses its recovery."""
+        (self.may_recover.clear if hold_recovery else self.may_recover.set)()
         self.killed.clear()
         store = DurableStore(
             self.disk,
@@ -72,8 +74,8 @@
         store.close()
 
 
-def served(server: World, balancer: Balancer, number: int, **fields: Any) -> Answer:
-    """The answer to a keyed request, or a duplicate, that needs no run."""
+def answer_without_run(server: World, balancer: Balancer, number: int, **fields: Any) -> Answer:
+    """The answer to a keyed request or a duplicate that is answered without a run."""
     balancer.send(number, **(KEYED | fields))
     answered, answer = balancer.answer()
     assert answered == number
@@ -81,12 +83,12 @@
 
 
 def keyed(number: int) -> dict[str, Any]:
-    """The fields of a keyed request with a key of its own."""
+    """The fields of a keyed request whose key is derived from `number`."""
     return {"path": "/svc/write", "HTTP_REQ_TOKEN": f"{number:032x}"}
 
 
 def runs_with_large_result(pool: PoolPeer, balancer: Balancer) -> bool:
-    """Whether the keyed request is run, with a large result, rather than rejected."""
+    """Run the keyed request with a large result; False if it is rejected instead."""
     while not pool.commands.qsize():
         if select.select([balancer.sock], [], [], 0.002)[0]:
             return False
--- a/tests/idempotency/conftest.py
+++ b/tests/idempotency/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests on stored results."""
+"""Fixtures for the tests of stored results."""
 
 from __future__ import annotations
 
@@ -12,6 +12,6 @@
 
 @pytest.fixture
 def killed_writers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A writer thread may be killed, and duplicates are answered from the store alone."""
+    """Allow kills of the writer thread, and answer duplicates only from the store."""
     expect_thread_errors(monkeypatch, Killed, PowerCut)
     monkeypatch.setattr(durability, "RECENT_RESULTS", 0)
--- a/tests/idempotency/test_durable_disk_errors.py
+++ b/tests/idempotency/test_durable_disk_errors.py
@@ -1,11 +1,11 @@
-"""A server whose disk fails, is slow or is full: what clients observe."""
+"""What clients observe of a server whose disk fails, is slow or is full."""
 
 from __future__ import annotations
 
 import errno
 
 import pytest
-from durable_servers import Servers, keyed, runs_with_large_result, served
+from durable_servers import Servers, answer_without_run, keyed, runs_with_large_result
 
 from cairnvane.idempotency.durable import retention
 
@@ -22,14 +22,14 @@
             servers.disk.fails = {kind: error, "write": error}
         servers.disk.fails |= {kind: error}
         balancer.send(1, **keyed(1))
-        assert balancer.answer()[1].status == 503  # it was to run, and provably has not
+        assert balancer.answer()[1].status == 503  # its start was not recorded, so it provably has not run
         balancer.send(2, **keyed(2))
         answer = balancer.answer()[1]
         assert answer.status == 503 and int(answer.headers["Srv-Wait-Ms"]) > 0
         server.serve(balancer, 3)  # a request without a key is served
         servers.disk.fails = {}
         number = 4
-        while True:  # without a restart
+        while True:  # the server recovers without a restart
             balancer.send(number, **keyed(1))
             if runs_with_large_result(servers.pool, balancer):
                 break
@@ -47,10 +47,11 @@
         servers.disk.gate.clear()
         other.send(2, **keyed(2))
         assert other.answer()[1].status == 503
-        assert served(server, other, 3, **keyed(3)).status == 503  # at once, behind a slow write
+        # Rejected at once, since a write is slow.
+        assert answer_without_run(server, other, 3, **keyed(3)).status == 503
         server.serve(other, 4)
         servers.pool.notice("finished", uid, "fine", b"late")
-        other.send(5, **keyed(1))  # its duplicate waits as well
+        other.send(5, **keyed(1))  # its duplicate waits too
         servers.disk.gate.set()
         assert balancer.answer()[1].body == b"late"
         assert other.answer()[1].body == b"late"
@@ -81,7 +82,7 @@
 
 
 def test_a_disk_that_fails_at_the_start_delays_keyed_requests_only() -> None:
-    """Guards: nothing at all was served until the folder could be read."""
+    """Guards against a fault in which no request was served until the folder was readable."""
     servers = Servers()
     with servers.run() as server:
         balancer = server.balancer()
@@ -94,10 +95,11 @@
     with servers.run() as server:
         balancer = server.balancer()
         server.serve(balancer, 3)
-        assert served(server, balancer, 4, **keyed(1)).status == 503
+        assert answer_without_run(server, balancer, 4, **keyed(1)).status == 503
         servers.disk.fails = {}
         number = 5
-        while (answer := served(server, balancer, number, **keyed(1))).status == 503:
+        while (answer := answer_without_run(server, balancer, number, **keyed(1))).status == 503:
             number += 1
         assert answer.body == b"original"
-        assert served(server, balancer, 900, **keyed(2)).status == 500  # may have run, and no one knows
+        # The run of request 2 may have happened; its end is unknown.
+        assert answer_without_run(server, balancer, 900, **keyed(2)).status == 500
--- a/tests/idempotency/test_durable_index.py
+++ b/tests/idempotency/test_durable_index.py
@@ -1,4 +1,4 @@
-"""The index in memory, and recovery into it."""
+"""The in-memory index, and recovery into it."""
 
 from __future__ import annotations
 
--- a/tests/idempotency/test_durable_log.py
+++ b/tests/idempotency/test_durable_log.py
@@ -1,4 +1,4 @@
-"""Segments that are damaged, foreign, of another format, expired or compacted."""
+"""Segments that are damaged, expired or compacted, files that are no segments, and other formats."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from cairnvane.idempotency.durable.storage import segment_name
 from cairnvane.testbed.stand_ins.disk import Disk
 
-__all__ = ["segment"]  # used by the tests of the command line as well
+__all__ = ["segment"]  # also used by the tests of the command line
 
 DAMAGE = st.sampled_from(["cut", "flip", "noise", "zeros", "swap", "insert"])
 
@@ -39,22 +39,22 @@
 def test_no_damage_causes_a_crash_or_a_wrong_result(rng: random.Random, kind: str) -> None:
     driver, name, data = segment()
     damaged = bytearray(data)
-    at = rng.randrange(len(damaged))
+    position = rng.randrange(len(damaged))
     length = rng.choice([1, 4, 16, 200, 5_000])
     if kind == "cut":
-        del damaged[at:]
+        del damaged[position:]
     elif kind == "flip":
-        damaged[at] ^= 1 << rng.randrange(8)
+        damaged[position] ^= 1 << rng.randrange(8)
     elif kind == "insert":
-        damaged[at:at] = rng.randbytes(length)
+        damaged[position:position] = rng.randbytes(length)
     elif kind == "swap":
         other = rng.randrange(len(damaged))
-        damaged[at : at + 64], damaged[other : other + 64] = (
+        damaged[position : position + 64], damaged[other : other + 64] = (
             damaged[other : other + 64],
-            damaged[at : at + 64],
+            damaged[position : position + 64],
         )
     else:
-        damaged[at : at + length] = rng.randbytes(length) if kind == "noise" else bytes(length)
+        damaged[position : position + length] = rng.randbytes(length) if kind == "noise" else bytes(length)
     try:
         after = Driver(Disk({name: bytes(damaged)}), BOOTS[0], driver.now)
     except FolderError as error:
@@ -68,13 +68,13 @@
             assert number in driver.ends
             if key_index.unpack_state(found[0]) is KeyState.FINISHED:
                 assert after.log.fetch(found[0], key(number), FINGERPRINT) in (driver.ends[number], None)
-    if kind == "cut":  # a record that is whole before the cut counts
+    if kind == "cut":  # records that end before the cut are recovered
         for number in driver.ends:
             word = driver.index.get(key(number))
             assert word is not None
             offset = key_index.unpack_location(word[0])[1]
             end = offset + records.END_BYTES + len(driver.ends[number] or b"")
-            assert at < end or after.index.get(key(number)) is not None
+            assert position < end or after.index.get(key(number)) is not None
 
 
 def test_damage_in_the_middle_is_reported_and_later_records_are_read() -> None:
@@ -139,26 +139,26 @@
 
 
 def test_time_under_another_boot_does_not_expire_a_key() -> None:
-    """A monotonic clock starts again with each boot; the Unix clock, which may be set, is never read."""
+    """The monotonic clock restarts with each boot, and the Unix clock, which may be set, is never read."""
     driver, name, data = segment()
-    for boot, now, counts in [
+    for boot, now, is_stored in [
         (BOOTS[0], driver.now + WINDOW_US - SECOND_US, True),
         (BOOTS[0], driver.now + WINDOW_US + MAX_READ_DELAY_US + SECOND_US, False),
         (BOOTS[1], 1, True),
         (BOOTS[1], driver.now * 50, True),
     ]:
         after = Driver(Disk({name: data}), boot, now)
-        assert (after.index.get(key(1)) is not None) is counts
-    late = after.now + WINDOW_US + MAX_READ_DELAY_US + SECOND_US
-    after.index.expire(late - MAX_READ_DELAY_US)
-    assert after.index.get(key(1)) is None  # but it does expire once its time is counted again
+        assert (after.index.get(key(1)) is not None) is is_stored
+    after_expiry = after.now + WINDOW_US + MAX_READ_DELAY_US + SECOND_US
+    after.index.expire(after_expiry - MAX_READ_DELAY_US)
+    assert after.index.get(key(1)) is None  # it does expire once its window has passed under this boot
 
 
 def test_expired_segments_are_dropped_and_compaction_keeps_live_records() -> None:
     disk = Disk()
     driver = Driver(disk)
     run_requests(driver, 1, 200, gap=SECOND_US // 10)
-    assert len(disk.names()) < 12  # of 20 s, only the window is there
+    assert len(disk.names()) < 12  # of the 20 s, only the segments within the window remain
     before = driver.log.size
     driver.compact()
     assert driver.log.size < before
--- a/tests/idempotency/test_durable_notices.py
+++ b/tests/idempotency/test_durable_notices.py
@@ -1,11 +1,11 @@
-"""Notices of the worker pool, and worker pools that are replaced, with a durable store."""
+"""Notices of the worker pool, and replaced worker pools, with a durable store."""
 
 from __future__ import annotations
 
 import threading
 
 import pytest
-from durable_servers import BOOT, KEYED, Servers, keyed, served
+from durable_servers import BOOT, KEYED, Servers, answer_without_run, keyed
 from peers import WAIT_S
 
 from cairnvane.idempotency.durable import DurableStore
@@ -23,7 +23,7 @@
         servers.kill_at = "append result", 0
         servers.pool.notice("finished", uid, "fine", b"lost with the process")
         assert servers.killed.wait(WAIT_S)
-    with servers.run() as server:  # bound from 0, not from 1
+    with servers.run() as server:  # binds from 0, since notice 1 has no record
         balancer = server.balancer()
         balancer.send(2, **KEYED)
         servers.pool.notice("finished", uid, "fine", b"real", again=True)
@@ -36,19 +36,20 @@
         balancer = server.balancer()
         balancer.send(1, **KEYED)
         servers.pool.next("spawn")
-        server.balancer().send(7)  # another notice, so that the next server binds behind it
+        server.balancer().send(7)  # one more notice, so that the next server does not bind from 0
         servers.pool.notice("finished", servers.pool.next("spawn")["uid"], "fine")
         balancer.send(9, path="/svc/write", HTTP_REQ_TOKEN="ab" * 16)
         servers.pool.run()
         assert balancer.answer()[0] == 9
     servers.pool.restart()
     with servers.run(pos=2) as server:
-        assert servers.pool.next("bind")["pos"] == 0  # a new pool counts from 1
+        assert servers.pool.next("bind")["pos"] == 0  # a new pool numbers its notices from 1
         balancer = server.balancer()
         for number in (2, 3):
-            assert served(server, balancer, number).status == 500
+            assert answer_without_run(server, balancer, number).status == 500
         balancer.send(4)
-        servers.pool.run(b"others are served")  # notice 1 of the new pool is none of the old one's
+        # Notice 1 of the new pool is not taken for notice 1 of the old pool.
+        servers.pool.run(b"others are served")
         assert balancer.answer()[1].body == b"others are served"
 
 
@@ -64,7 +65,7 @@
         servers.pool.cut()
         assert {balancer.answer()[1].status for _ in range(2)} == {500}
         servers.pool.next("bind")
-        assert served(server, balancer, 3).status == 500
+        assert answer_without_run(server, balancer, 3).status == 500
         balancer.send(4)
         servers.pool.run(b"new")
         assert balancer.answer()[1].body == b"new"
@@ -83,7 +84,7 @@
 
 
 def test_a_call_that_was_never_made_does_not_keep_its_notice_pending() -> None:
-    """Guards: a run that ended while it waited for its call kept its notice pending for good."""
+    """Guards against a fault: a run that ended while waiting for its call kept its notice pending forever."""
     servers = Servers()
     with servers.run(FairCalls=1.0) as server:
         balancer = server.balancer()
@@ -92,7 +93,8 @@
             balancer.send(number, **keyed(number))
             uids.append(servers.pool.next("spawn")["uid"])
             servers.pool.notice("blocked", uids[-1], content=b"call")
-        assert server.vault.calls.get(timeout=WAIT_S)  # of the first; the second has no room for one
+        # The call of the first run; the call limit has no room for that of the second.
+        assert server.vault.calls.get(timeout=WAIT_S)
         servers.pool.notice("finished", uids[1], "broken_off")
         servers.pool.notice("finished", uids[0], "fine", b"done")
         assert {balancer.answer()[1].status for _ in uids} == {200, 500}
@@ -102,7 +104,10 @@
 
 
 def test_a_record_of_an_earlier_worker_pool_settles_no_notice_of_this_one() -> None:
-    """Guards: both count from 1, and a late record of the one let the other's notice pass for recorded."""
+    """Guards against a fault in which a late record of the earlier pool settled a notice of the new one.
+
+    Both pools number their notices from 1.
+    """
     disk = Disk()
     recovered = threading.Event()
     store = DurableStore(
--- a/tests/idempotency/test_durable_power_cuts.py
+++ b/tests/idempotency/test_durable_power_cuts.py
@@ -1,4 +1,4 @@
-"""Power cuts: before every step of the log, during compaction and during recovery."""
+"""Power cuts before every step of the log, during compaction and during recovery."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def cut_at_every_step(scenario: Callable[[Driver], None], same_boot: bool = False) -> int:
-    """Run the scenario with a power cut before its first step, its second, and so on.
+    """Run the scenario with a power cut before its first step, then before its second, and so on.
 
-    Returns how many cuts there were until it ended without one.
+    Returns the number of power cuts until the scenario ends without one.
     """
     cuts = 0
     while True:
@@ -48,7 +48,7 @@
 
 
 def test_the_recovery_check_fails_for_a_log_without_start_records() -> None:
-    """The check itself can fail: without start records a run is forgotten."""
+    """Shows that the check can fail: without start records a run is forgotten."""
 
     def scenario(driver: Driver) -> None:
         driver.record_starts = False
@@ -101,9 +101,9 @@
                 else:
                     driver.end(chosen, result(chosen, choice * 300) if operation == "end" else None)
             elif operation == "compact":
-                driver.compact(all_=choice % 2 == 0)
+                driver.compact(all_segments=choice % 2 == 0)
             else:
-                driver.pass_time({"later": SECOND_US // 2, "much later": 4 * SECOND_US}.get(operation, 1))
+                driver.advance_clock({"later": SECOND_US // 2, "much later": 4 * SECOND_US}.get(operation, 1))
     except PowerCut:
         pass
     for image in disk.images():
--- a/tests/idempotency/test_durable_restarts.py
+++ b/tests/idempotency/test_durable_restarts.py
@@ -1,11 +1,11 @@
-"""Stored results over restarts of the server: what clients, worker pool and vault observe."""
+"""What clients, worker pool and vault observe of stored results after restarts of the server."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from durable_servers import BOOT, KEYED, OTHER_BOOT, Servers, served
+from durable_servers import BOOT, KEYED, OTHER_BOOT, Servers, answer_without_run
 from peers import WAIT_S, reply
 
 from cairnvane.idempotency.durable.retention import UNAVAILABLE_RETRY_US
@@ -22,13 +22,13 @@
         balancer.send(1, **KEYED)
         servers.pool.run(b"original")
         assert balancer.answer()[1].body == b"original"
-        assert served(server, balancer, 2).body == b"original"  # read back from the disk
+        assert answer_without_run(server, balancer, 2).body == b"original"  # read back from the disk
     servers.boot = boot
     with servers.run(pos=None) as server:
-        answer = served(server, server.balancer(), 3)
+        answer = answer_without_run(server, server.balancer(), 3)
         assert (answer.status, answer.body) == (200, b"original")
-        assert servers.pool.linked.wait(WAIT_S)  # before it, the run would be one of the pool that is gone
-        server.balancer().send(4)  # the pool sees nothing but binds and this
+        assert servers.pool.linked.wait(WAIT_S)  # before that, the run would belong to the old pool
+        server.balancer().send(4)  # the pool receives only binds and this run
         while (command := servers.pool.commands.get(timeout=WAIT_S))["action"] == "bind":
             pass
         assert (command["action"], command["uid"]) == ("spawn", f"{4:016x}")
@@ -45,8 +45,8 @@
         servers.pool.notice("finished", uid, "fine", b"real")
         assert balancer.answer()[1].body == b"real"
         assert servers.pool.commands.empty()
-    with servers.run(pos=1) as server:  # whose effect is recorded, and need not come again
-        assert served(server, server.balancer(), 3).body == b"real"
+    with servers.run(pos=1) as server:  # the effect of notice 1 is recorded, so it is not sent again
+        assert answer_without_run(server, server.balancer(), 3).body == b"real"
 
 
 def test_a_result_that_was_recorded_and_not_answered_is_stored() -> None:
@@ -58,7 +58,7 @@
         servers.pool.notice("finished", uid, "fine", b"stored")
         assert servers.killed.wait(WAIT_S)
     with servers.run(pos=None) as server:
-        assert served(server, server.balancer(), 2).body == b"stored"
+        assert answer_without_run(server, server.balancer(), 2).body == b"stored"
 
 
 @pytest.mark.parametrize("step", ["append", "written"])
@@ -74,7 +74,7 @@
         assert servers.pool.next("bind")["pos"] == 0
         balancer = server.balancer()
         balancer.send(2, **KEYED)
-        if step == "append":  # nothing was written: nobody knows of it, and it runs for the first time
+        if step == "append":  # nothing was written, so the duplicate is the first to run
             servers.pool.run(b"first")
             assert balancer.answer()[1].body == b"first"
         else:
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("recorded", [False, True], ids=["not recorded", "recorded"])
 def test_a_call_that_may_have_been_made_is_not_repeated_by_the_next_incarnation(recorded: bool) -> None:
-    """The vault's own record is the witness: a second call would be a second effect."""
+    """The calls that the vault received are checked, since a second call would have a second effect."""
     servers = Servers()
     with servers.run() as server:
         server.balancer().send(1, **KEYED)
@@ -104,7 +104,7 @@
         else:
             assert servers.pool.next("supply")["content"] == b"balance"
             servers.pool.notice("finished", uid, "fine", b"done")
-        assert served(server, server.balancer(), 2).status == (500 if recorded else 200)
+        assert answer_without_run(server, server.balancer(), 2).status == (500 if recorded else 200)
 
 
 @pytest.mark.parametrize(
@@ -119,11 +119,11 @@
         balancer.send(1, **KEYED)
         servers.pool.run(b"mine")
         assert balancer.answer()[1].body == b"mine"
-        assert served(server, balancer, 2, **fields).status == 500
+        assert answer_without_run(server, balancer, 2, **fields).status == 500
     with servers.run(pos=1) as server:
         balancer = server.balancer()
-        assert served(server, balancer, 3, **fields).status == 500
-        assert served(server, balancer, 4).body == b"mine"
+        assert answer_without_run(server, balancer, 3, **fields).status == 500
+        assert answer_without_run(server, balancer, 4).body == b"mine"
 
 
 def test_a_duplicate_during_recovery_waits_for_it() -> None:
@@ -133,19 +133,19 @@
         balancer.send(1, **KEYED)
         servers.pool.run(b"original")
         assert balancer.answer()[1].status == 200
-    with servers.run(pos=None, hold=True) as server:
+    with servers.run(pos=None, hold_recovery=True) as server:
         balancer = server.balancer()
         assert servers.recovering.wait(WAIT_S)
         balancer.send(2, **KEYED)
-        balancer.send(3, path="/svc/nothing")  # read behind it, answered before it
+        balancer.send(3, path="/svc/nothing")  # read after the duplicate, and answered before it
         assert balancer.answer()[0] == 3
-        servers.go_on.set()
+        servers.may_recover.set()
         assert balancer.answer()[1].body == b"original"
 
 
 def test_a_request_that_waits_too_long_for_recovery_is_rejected_with_retry_after() -> None:
     servers = Servers()
-    with servers.run(pos=None, hold=True) as server:
-        answer = served(server, server.balancer(), 1)
+    with servers.run(pos=None, hold_recovery=True) as server:
+        answer = answer_without_run(server, server.balancer(), 1)
         assert (answer.status, int(answer.headers["Srv-Wait-Ms"])) == (503, UNAVAILABLE_RETRY_US // 1_000)
-        servers.go_on.set()
+        servers.may_recover.set()
--- a/tests/idempotency/test_kills_at_every_step.py
+++ b/tests/idempotency/test_kills_at_every_step.py
@@ -1,4 +1,4 @@
-"""The durable log and the claim log together, killed at every step of either."""
+"""Kills at every step of the durable log or the claim log, with both in use."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 BOOT = b"a" * 16
 RESULTS: dict[bytes, bytes | None] = {b"\1" * 16: b"a" * 300, b"\2" * 16: b"b" * 300, b"\3" * 16: None}
 OPEN_KEY = b"\4" * 16
-SHORT_S = 0.2  # a writer that has not answered by then was killed
+SHORT_S = 0.2  # a writer that has not answered after this time was killed
 
 
 class Incarnation:
-    """One process: its store, and what a server would ask of it."""
+    """One process with its store, used as a server uses it."""
 
     def __init__(self, path: Path, disk: Disk, folder: OsFolder) -> None:
         self.incarnations = Incarnations(path / "lives")
@@ -39,13 +39,13 @@
         self.expires_at: dict[bytes, int] = {}
 
     def start(self, wait_s: float) -> bool:
-        """Whether recovery is complete in time."""
+        """Start the store; returns whether recovery is complete in time."""
         ready = threading.Event()
         self.store.start(lambda state: ready.set(), lambda: None, lambda cause: None)
         return ready.wait(wait_s)
 
     def run(self, key: bytes, wait_s: float) -> str:
-        """Record the start of a run; what the store answers, "nothing" if it does not in time."""
+        """Record the start of a run; returns the store's answer, or "nothing" if there is none in time."""
         answers: list[str] = []
         is_answered = threading.Event()
 
@@ -65,7 +65,7 @@
         return answers[0] if is_answered.wait(wait_s) else "nothing"
 
     def end(self, key: bytes, result: bytes | None, wait_s: float) -> bool:
-        """Record the end of a run; whether that is recorded in time."""
+        """Record the end of a run; returns whether it is recorded in time."""
         is_recorded = threading.Event()
         self.store.record_end(key, self.expires_at[key], SAME, result, (), is_recorded.set)
         return is_recorded.wait(wait_s)
@@ -87,14 +87,14 @@
         return results[0]
 
     def die(self) -> None:
-        """As if killed: its locks are released, and it notifies nobody any more."""
+        """Simulate a kill: the locks are released, and no further notice is sent."""
         self.incarnations.heartbeat = lambda: None  # type: ignore[method-assign]
         self.incarnations.leave()
         self.claim_log._closed = True
 
 
-def history(incarnation: Incarnation, started: list[bytes], answered: dict[bytes, bytes | None]) -> None:
-    """Three requests that end and one that stays open, until the kill; each step waits for the one before."""
+def run_requests(incarnation: Incarnation, started: list[bytes], answered: dict[bytes, bytes | None]) -> None:
+    """Run three requests that end and one that does not, one after the other, until the kill."""
     for key in (*RESULTS, OPEN_KEY):
         if incarnation.run(key, SHORT_S) != "runs":
             raise Killed
@@ -111,7 +111,7 @@
     killed_log: str,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    expect_thread_errors(monkeypatch, Killed, PowerCut)  # a writer that is killed
+    expect_thread_errors(monkeypatch, Killed, PowerCut)  # the writer thread is killed
     for kill_at in range(200):
         path = tmp_path / str(kill_at)
         disk = Disk()
@@ -126,7 +126,7 @@
             old = Incarnation(path, disk, folder)
             if not old.start(SHORT_S):
                 raise Killed
-            history(old, started, answered)
+            run_requests(old, started, answered)
             is_finished = True
         if old is not None:
             old.die()
