--- a/cairnvane/claims/claim_log.py
+++ b/cairnvane/claims/claim_log.py
@@ -47,9 +47,9 @@
     synchronous = True
 
     def __init__(
-        self, folder: Folder, incarnations: Incarnations, max_read_delay: int, max_bytes: int = MAX_BYTES
+        self, folder: Folder, incarnations: Incarnations, max_read_delay_us: int, max_bytes: int = MAX_BYTES
     ) -> None:
-        """`max_read_delay` is the longest time from a request's arrival until it is read, in microseconds."""
+        """`max_read_delay_us` is the longest time from a request's arrival until it is read."""
         self._folder = folder
         self._incarnations = incarnations
         self._incarnation = incarnations.number
@@ -59,7 +59,7 @@
         # methods that take it call each other.
         self._lock = threading.RLock()
         self._changed = threading.Condition(self._lock)  # notified when a request waits or the log is closed
-        self._table = ClaimTable(max_read_delay)
+        self._table = ClaimTable(max_read_delay_us)
         self._reader = SegmentReader(folder, self._table, self._incarnation, self._before_recreation)
         self._writer = SegmentWriter(folder, self._table, self._reader, incarnations)
         self._waiters = ResultWaiters(self._changed, self._table, self._reader, incarnations)
--- a/cairnvane/claims/claim_table.py
+++ b/cairnvane/claims/claim_table.py
@@ -49,15 +49,15 @@
 class ClaimTable:
     """The keys and their claims, built from the records in their order.
 
-    `max_read_delay` is the longest time from the arrival of a request until it is read, in microseconds.
+    `max_read_delay_us` is the longest time from the arrival of a request until it is read, in microseconds.
     """
 
-    def __init__(self, max_read_delay: int) -> None:
+    def __init__(self, max_read_delay_us: int) -> None:
         self.entries: dict[bytes, Entry] = {}
         self.sealed_segments: set[int] = set()
         self.rejected_claims = 0  # made while another claim of the key was valid
         self.illegal_steps = 0  # steps of a claim that is not valid, or steps made twice
-        self._max_read_delay = max_read_delay
+        self._max_read_delay = max_read_delay_us
         self._last_expiry: dict[int, int] = {}  # by segment: the time when its last key expires
         self._expiry_queue: list[tuple[int, bytes]] = []  # a heap of (time of removal, key)
 
--- a/cairnvane/server/store_setup.py
+++ b/cairnvane/server/store_setup.py
@@ -102,7 +102,7 @@
 
     Without it, each incarnation knows only its own keys.
     """
-    claims = ClaimLog(OsFolder(folder), incarnations, max_read_delay=_max_client_timeout(configuration))
+    claims = ClaimLog(OsFolder(folder), incarnations, max_read_delay_us=_max_client_timeout(configuration))
     try:
         claims.open()
     except NewerVersionError as error:
@@ -126,7 +126,7 @@
     """Open the log of results, and the claims of concurrent incarnations next to it."""
     from ..idempotency.durable import DurableStore, FolderError, TakeoverStore
     from ..idempotency.durable.storage import OsFiles, boot_id
-    from ..idempotency.durable.takeover_store import LEDGER
+    from ..idempotency.durable.takeover_store import CLAIM_LOG_PREFIX
 
     folder = Path(keyed.folder)
     survives_power_loss = keyed.durability == "power"
@@ -137,16 +137,16 @@
         power=survives_power_loss,
         disk_bytes=keyed.disk_bytes,
         memory_bytes=keyed.memory_bytes,
-        unread=_max_client_timeout(configuration),
-        points=step_observer,
+        max_read_delay_us=_max_client_timeout(configuration),
+        step_observer=step_observer,
     )
     try:
-        store.check(beside=incarnations is not None and not incarnations.is_alone())
+        store.check(allow_concurrent=incarnations is not None and not incarnations.is_alone())
     except FolderError as error:
         raise config.ConfigurationError(f"keyed.folder: {error}") from None
     if incarnations is None:
         return store
-    claims_folder = folder / f"{LEDGER}{_short_boot_id()}"
+    claims_folder = folder / f"{CLAIM_LOG_PREFIX}{_short_boot_id()}"
     claims = _open_claims(configuration, claims_folder, incarnations)
     if claims is None:
         return store
