--- a/tests/net/test_worker_pool_link.py
+++ b/tests/net/test_worker_pool_link.py
@@ -8,6 +8,7 @@
 
 import pytest
 from peers import LINK_THREAD_NAME, TOKEN, WAIT_S, PoolPeer, reply, until, world
+from server_helpers import wait_for_event_loop
 
 from cairnvane.net import worker_pool_link
 
@@ -40,6 +41,7 @@
             assert w.pool.next("spawn")["uid"] == uid
             in_flight = w.host._requests.find_uid(uid)
             assert in_flight is not None
+            wait_for_event_loop(w.host)  # the resend, which marks the run, is complete
             until(lambda: not in_flight.is_repeat_unread)  # the pool has read it: the run ends after that
         w.pool.notice("finished", "f" * 16, "fine", again=True)
         w.pool.notice("finished", uid, "fine", b"done")
--- a/tests/server/test_cancelled_runs.py
+++ b/tests/server/test_cancelled_runs.py
@@ -20,6 +20,7 @@
 
 import pytest
 from peers import TOKEN, until, world
+from server_helpers import wait_for_event_loop
 
 from cairnvane import clock
 from cairnvane.server import cancellations
@@ -100,6 +101,7 @@
         assert harness.pool.next("spawn")["uid"] == uid
         in_flight = harness.host._requests.find_uid(uid)
         assert in_flight is not None
+        wait_for_event_loop(harness.host)  # the resend, which marks the run, is complete
         until(lambda: not in_flight.is_repeat_unread)
         harness.end(balancer, uid)
         harness.serve(balancer, 2)  # the next command must be the `spawn` of request 2, not a `suspend`
--- a/tests/server_helpers.py
+++ b/tests/server_helpers.py
@@ -7,10 +7,11 @@
 from typing import Any
 
 import pytest
-from peers import Held, World
+from peers import WAIT_S, Held, World
 
 from cairnvane.exchange import Response
 from cairnvane.net import fastcgi
+from cairnvane.server.event_loop import EventLoop
 
 # The records that begin and abort request 1.
 BEGIN = fastcgi.record(fastcgi.BEGIN_REQUEST, 1, b"\0\1\1\0\0\0\0\0")
@@ -46,6 +47,13 @@
     return thread
 
 
+def wait_for_event_loop(event_loop: EventLoop) -> None:
+    """Wait until the event loop has finished what it was doing and all earlier tasks."""
+    reached = threading.Event()
+    event_loop.post(reached.set)
+    assert reached.wait(WAIT_S)
+
+
 def class_settings(name: str, repeat: str = "free", **overrides: Any) -> dict[str, Any]:
     """The settings of one class, with the keys of the platform's file."""
     return {"Name": name, "OnTimeUs": 3_000_000, "GiveUpUs": 9_000_000, "Repeat": repeat, **overrides}
