--- a/cairnvane/membership/actions.py
+++ b/cairnvane/membership/actions.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class ReportEvent:
     """Report a structured event such as `member.suspected`, with its evidence."""
 
     event: str
-    more: dict[str, Any]
+    details: dict[str, Any]
 
 
-Action = Send | Exchange | Tell
+Action = Send | Exchange | ReportEvent
 
 
 class Outbox:
@@ -60,4 +60,4 @@
         """Report an event about the claim's subject; `by` is the instance that caused it, 0 if none."""
         subject = {"name": claim.name, "life": f"{claim.life:016x}", "incarnation": claim.incarnation}
         cause = {"by": f"{by:016x}"} if by else {}
-        self._actions.append(Tell(event, subject | cause | details))
+        self._actions.append(ReportEvent(event, subject | cause | details))
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from .actions import Action, Address, Exchange, Send, Tell
+from .actions import Action, Address, Exchange, ReportEvent, Send
 from .claim_merger import ClaimMerger
 from .claims import Claim, Info, Phase, Status, is_valid_claim
 from .context import MemberContext
@@ -34,7 +34,7 @@
 from .state_exchange import StateExchange
 from .suspicion import Suspicions
 
-__all__ = ["Action", "Address", "Counts", "Exchange", "Options", "Send", "SwimMember", "Tell"]
+__all__ = ["Action", "Address", "Counts", "Exchange", "Options", "Send", "SwimMember", "ReportEvent"]
 
 # A member that leaves says so to this many times the helpers of an indirect ping.
 FAREWELLS_PER_HELPER = 3
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from .. import clock
-from .actions import Action, Address, Exchange, Send, Tell
+from .actions import Action, Address, Exchange, ReportEvent, Send
 from .claims import Claim, Phase
 from .envelope import EnvelopeError
 from .evidence import ExternalSignals
@@ -83,7 +83,7 @@
         options: Options | None = None,
         outside: Callable[[], ExternalSignals] = ExternalSignals,
         carried: Callable[[], dict[str, Any]] = dict,
-        tell: Callable[[Tell], None] = lambda event: None,
+        tell: Callable[[ReportEvent], None] = lambda event: None,
         ways: Mapping[Address, Address] | None = None,
         spares: int = 0,
     ) -> None:
@@ -161,7 +161,7 @@
                 self._run_once()
             except Exception as error:  # the others would take this server for failed
                 self.counts["errors"] += 1
-                self._report(Tell("member.error", {"what": f"{type(error).__name__} {error}"}))
+                self._report(ReportEvent("member.error", {"what": f"{type(error).__name__} {error}"}))
                 threading.Event().wait(AFTER_ERROR_S)
         self._connections.close_all()
         self._selector.close()
--- a/cairnvane/server/member_setup.py
+++ b/cairnvane/server/member_setup.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from ..config.operator import MembersOptions
     from ..exchange import RequestSink
-    from ..membership.swim import Tell
+    from ..membership.swim import ReportEvent
     from ..membership.transport import MemberTransport
 
 logger = logging.getLogger(__name__)
@@ -39,8 +39,8 @@
         raise config.ConfigurationError(f"members: the name {name!r} is longer than {MOST_NAME} characters")
 
 
-def _log_event(event: Tell) -> None:
-    details = "".join(f" {key}={value}" for key, value in event.more.items())
+def _log_event(event: ReportEvent) -> None:
+    details = "".join(f" {key}={value}" for key, value in event.details.items())
     logger.info(MEMBER_EVENT, event.event.removeprefix("member."), details)
 
 
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -6,7 +6,7 @@
 
 from ...membership.local_health import CHECKS
 from ...membership.member_table import Status
-from ...membership.swim import Action, Address, SwimMember, Tell
+from ...membership.swim import Action, Address, ReportEvent, SwimMember
 
 
 class InvariantError(Exception):
@@ -41,9 +41,9 @@
 ) -> None:
     """No failure verdict on a suspect without last probes, unless another process answers at its address."""
     for action in out:
-        if isinstance(action, Tell) and action.event == "member.failed" and "probed" in action.more:
-            life = int(action.more["life"], 16)
-            if life in suspects and action.more["probed"] < CHECKS and not member.table.at(suspects[life]):
+        if isinstance(action, ReportEvent) and action.event == "member.failed" and "probed" in action.details:
+            life = int(action.details["life"], 16)
+            if life in suspects and action.details["probed"] < CHECKS and not member.table.at(suspects[life]):
                 raise InvariantError(f"n{number} fails {life} without last probes")
 
 
--- a/cairnvane/testbed/simulation/membership.py
+++ b/cairnvane/testbed/simulation/membership.py
@@ -110,7 +110,7 @@
     else:  # it reports each verdict itself
         before = len(world.told)
         world.run(joined + WATCH_S * SECOND)
-        false = sum("accusers" in event.more for _, _, event in world.told[before:])
+        false = sum("accusers" in event.details for _, _, event in world.told[before:])
     bytes_a_second = world.bytes / members / WATCH_S
     messages_a_second = world.messages / members / WATCH_S
     life = world.kill(members // 2)
@@ -176,7 +176,7 @@
     changed = world.now
     agreed = world.run(changed + AGREE_S * SECOND, world.agree, look)
     false = sum(
-        event.event == "member.failed" and "accusers" in event.more and event.more["life"] not in dead
+        event.event == "member.failed" and "accusers" in event.details and event.details["life"] not in dead
         for _, _, event in world.told[events_before:]
     )
     duration_s = (world.now - began) / SECOND
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -15,7 +15,7 @@
 
 from ...membership.member_table import Claim
 from ...membership.messages import Message, Nack, seal
-from ...membership.swim import Action, Address, Exchange, Options, Send, SwimMember, Tell
+from ...membership.swim import Action, Address, Exchange, Options, ReportEvent, Send, SwimMember
 
 SECOND = 1_000_000
 KEY = b"of the laboratory"
@@ -137,7 +137,7 @@
         self._timers: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda source, to: False
         self.bytes = self.messages = self.largest = 0
-        self.told: list[tuple[int, int, Tell]] = []
+        self.told: list[tuple[int, int, ReportEvent]] = []
 
     # --- members
 
@@ -222,7 +222,7 @@
 
     def _do(self, number: int, actions: Sequence[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, ReportEvent):
                 self.told.append((self.now, number, action))
             elif isinstance(action, Send):
                 self._send(number, action)
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -9,7 +9,7 @@
 
 from ...membership.member_table import Claim, Status
 from ...membership.messages import MOST_BYTES, Message, View, seal
-from ...membership.swim import Action, Send, SwimMember, Tell
+from ...membership.swim import Action, ReportEvent, Send, SwimMember
 from .invariants import InvariantError, check_step, check_verdicts, suspects_of, why_unstable
 from .world_states import KEY, Envelope, FaultCounts, FixedRandom, State, address_of, load, number_at
 
@@ -109,7 +109,7 @@
         out: list[Envelope] = []
         source = member.own.host, member.own.port
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, ReportEvent):
                 continue
             messages: list[Message] = [action.message] if isinstance(action, Send) else [*member.whole(True)]
             for message in messages:
--- a/tests/cluster_simulation.py
+++ b/tests/cluster_simulation.py
@@ -37,7 +37,7 @@
 
 def count_failure_verdicts(world: World) -> int:
     """How often some member declared another one failed."""
-    return sum(event.event == "member.failed" and "accusers" in event.more for _, _, event in world.told)
+    return sum(event.event == "member.failed" and "accusers" in event.details for _, _, event in world.told)
 
 
 def agrees(world: World, among: list[int] | None = None, within_s: float = AGREE_S) -> bool:
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -34,7 +34,9 @@
     world = start_cluster(60, loss=0.3)
     world.run(world.now + 10 * SECOND)
     assert count_failure_verdicts(world) == 0
-    assert sum(event.event == "member.suspected" and "why" in event.more for _, _, event in world.told) < 120
+    assert (
+        sum(event.event == "member.suspected" and "why" in event.details for _, _, event in world.told) < 120
+    )
     world.kill(30)
     assert agrees(world)
 
@@ -49,7 +51,7 @@
     world.run(world.now + SECOND)
     assert agrees(world)
     events_of_woken = [event for at, number, event in world.told if number == 2 and at >= woken]
-    assert not any("accusers" in event.more for event in events_of_woken)
+    assert not any("accusers" in event.details for event in events_of_woken)
     assert member_of(world, 2).counts.held_up > 0
 
 
@@ -72,7 +74,7 @@
     world = start_cluster(60)
     lost = {f"{world.kill(number):016x}" for number in range(0, 60, 3)}
     assert agrees(world, within_s=20)
-    assert {event.more["life"] for _, _, event in world.told if event.event == "member.failed"} == lost
+    assert {event.details["life"] for _, _, event in world.told if event.event == "member.failed"} == lost
 
 
 def test_the_hard_cases_of_a_large_cluster_end_in_agreement_without_a_false_verdict() -> None:
@@ -86,7 +88,9 @@
     monkeypatch.setattr(ping_schedule.PingLossEstimator, "attempts_needed", lambda loss: 2)
     world = start_cluster(60, loss=0.3)
     world.run(world.now + 10 * SECOND)
-    assert sum(event.event == "member.suspected" and "why" in event.more for _, _, event in world.told) > 160
+    assert (
+        sum(event.event == "member.suspected" and "why" in event.details for _, _, event in world.told) > 160
+    )
 
 
 def test_without_final_pings_members_that_are_up_are_declared_failed(monkeypatch: pytest.MonkeyPatch) -> None:
