--- a/benchmarks/members_rumours.py
+++ b/benchmarks/members_rumours.py
@@ -11,7 +11,7 @@
 
 import table
 
-from cairnvane.membership.gossip import Rumours, tells
+from cairnvane.membership.gossip import ClaimQueue, tells
 from cairnvane.membership.member_table import Claim
 
 MEMBERS = 1_000
@@ -42,7 +42,7 @@
         return picked
 
 
-def cost_us(kind: type[Plain] | type[Rumours], waiting: int) -> float:
+def cost_us(kind: type[Plain] | type[ClaimQueue], waiting: int) -> float:
     """Microseconds a selection."""
     rumours = kind()
     claims = [Claim(life, "n", "p", "10.0.0.1", 1, 0, 0) for life in range(1, waiting + 1)]
@@ -58,7 +58,7 @@
 def main() -> None:
     """Measure both at all sizes, in one run."""
     rows = [
-        [float(waiting), cost_us(Plain, waiting), cost_us(Rumours, waiting)] for waiting in (1, 8, 64, 512)
+        [float(waiting), cost_us(Plain, waiting), cost_us(ClaimQueue, waiting)] for waiting in (1, 8, 64, 512)
     ]
     table.show("a pick and an add", ["waiting", "plain, us", "levels, us"], rows)
 
--- a/cairnvane/membership/dissemination.py
+++ b/cairnvane/membership/dissemination.py
@@ -5,7 +5,7 @@
 from .actions import Address
 from .claims import Claim, Info, Status
 from .context import MemberContext
-from .gossip import MetadataQueue, Rumours
+from .gossip import ClaimQueue, MetadataQueue
 from .messages import MAX_CLAIMS, MAX_METADATA_ENTRIES, Ack, Ask, Ping
 
 
@@ -13,7 +13,7 @@
     """Owns what waits to be gossiped, and numbers and writes the messages that carry it."""
 
     def __init__(self, context: MemberContext) -> None:
-        self.claims = Rumours()
+        self.claims = ClaimQueue()
         self.metadata = MetadataQueue()
         self._local = context.local
         self._table = context.table
--- a/cairnvane/membership/gossip.py
+++ b/cairnvane/membership/gossip.py
@@ -23,7 +23,7 @@
     return RETRANSMIT_FACTOR * math.ceil(math.log2(members + 2))
 
 
-class Rumours:
+class ClaimQueue:
     """Queued claims, on a level for each time that they were sent: the next few are found at once."""
 
     def __init__(self) -> None:
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -65,7 +65,7 @@
         self.external_signals = ExternalSignals()
         self._outbox = context.outbox
         self._dissemination = Dissemination(context)
-        self._rumours = self._dissemination.claims
+        self._claim_queue = self._dissemination.claims
         self._numbers: dict[int, ReplayWindow] = {}  # by sending instance
         self._partition = PartitionMonitor(context, now)
         self._suspicions = Suspicions(context, self._dissemination, self._partition, now)
@@ -127,7 +127,7 @@
         """Announce to some members at once that this one leaves, so that nobody suspects it."""
         self.phase(Phase.LEAVING)
         self._local.mark_left()
-        self._rumours.add(self.own)
+        self._claim_queue.add(self.own)
         recipient_count = FAREWELLS_PER_HELPER * self.options.helpers
         recipients = self._detector.schedule.pick_helpers(self.table.up, 0, recipient_count)
         dissemination = self._dissemination
@@ -246,7 +246,7 @@
         self.counts.refuted += 1
         self.health.degrade()
         self._local.refute(claim)
-        self._rumours.add(self.own)
+        self._claim_queue.add(self.own)
         self._publish(dict(self.metadata.metadata))
         status_name = Status(claim.status).name.lower()
         self._outbox.report("member.refuted", self.own, by=claim.by, was=status_name)
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -22,9 +22,9 @@
             missing = sorted(lives - seen - {member.own.life})
             ghosts = sorted(seen - lives)
             return f"at rest n{number} misses {missing}, and sees {ghosts} for nothing"
-        if member.table.count(Status.SUSPECT) or len(member._rumours):
+        if member.table.count(Status.SUSPECT) or len(member._claim_queue):
             suspects = member.table.count(Status.SUSPECT)
-            rumours = len(member._rumours)
+            rumours = len(member._claim_queue)
             return f"at rest n{number} still suspects {suspects}, and tells {rumours} rumours"
     return ""
 
@@ -66,5 +66,5 @@
         if known.status is Status.LEFT and not left:
             raise InvariantError(f"n{number} takes {life} for one that has left, and it has not said so")
     check_verdicts(number, suspects_of(before), member, out)
-    if len(member._rumours) > len(member.table.lives) + 1:
+    if len(member._claim_queue) > len(member.table.lives) + 1:
         raise InvariantError(f"n{number} tells more rumours than there are lives")
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from ...membership import swim
-from ...membership.gossip import Rumours
+from ...membership.gossip import ClaimQueue
 from ...membership.member_table import Claim, Status, Table
 from ...membership.swim import SwimMember
 
@@ -15,7 +15,7 @@
 def _mutants() -> dict[str, Callable[[], Any]]:
     def refute_as_before(self: SwimMember, claim: Claim) -> None:
         if claim.status != Status.ALIVE:
-            self._rumours.add(self.own)
+            self._claim_queue.add(self.own)
 
     def take_any(self: Table, claim: Claim, now: int) -> Any:
         if (known := self.lives.get(claim.life)) is not None:
@@ -25,7 +25,7 @@
             return known
         return None
 
-    def keep_telling(self: Rumours, most: int, members: int, first: int | None = None) -> list[Claim]:
+    def keep_telling(self: ClaimQueue, most: int, members: int, first: int | None = None) -> list[Claim]:
         return [claim for some in self._levels for claim in some.values()][:most]
 
     def suspect_higher(self: Claim, status: Status, incarnation: int, by: int) -> Claim:
@@ -42,7 +42,7 @@
         "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
         "any-claim-counts": lambda: mock.patch.object(Table, "take", take_any),
         "others-raise-incarnations": lambda: mock.patch.object(Claim, "saying", suspect_higher),
-        "rumours-for-ever": lambda: mock.patch.object(Rumours, "pick", keep_telling),
+        "rumours-for-ever": lambda: mock.patch.object(ClaimQueue, "pick", keep_telling),
         "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
     }
 
--- a/tests/membership/test_member_claims.py
+++ b/tests/membership/test_member_claims.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from cairnvane.membership.claims import Claim, Info
-from cairnvane.membership.gossip import MAX_QUEUED_CLAIMS, Rumours, transmit_limit
+from cairnvane.membership.gossip import MAX_QUEUED_CLAIMS, ClaimQueue, transmit_limit
 from cairnvane.membership.member_table import Table
 from cairnvane.membership.messages import Ping
 
@@ -70,7 +70,7 @@
 
 
 def test_claims_are_gossiped_a_limited_number_of_times_and_their_number_is_bounded() -> None:
-    queue = Rumours()
+    queue = ClaimQueue()
     for life in range(MAX_QUEUED_CLAIMS + 50):
         queue.add(make_claim(life))
     assert len(queue) == MAX_QUEUED_CLAIMS
