--- a/cairnvane/membership/claim_merger.py
+++ b/cairnvane/membership/claim_merger.py
@@ -44,13 +44,13 @@
         record = self._table.lives.get(claim.life)
         if record is None and claim.status >= Status.FAILED:
             # Nobody here ever knew it: kept as a tombstone, so that no older claim makes it known as alive.
-            self._table.take(claim, now)
+            self._table.merge(claim, now)
             return
         if claim.status == Status.SUSPECT and record is not None and claim.rank == record.claim.rank:
             self._suspicions.confirm(record, claim.by)
             return
         status_before = record.status if record is not None else None
-        changed = self._table.take(claim, now)
+        changed = self._table.merge(claim, now)
         if changed is None:
             return
         self._dissemination.claims.add(claim)
@@ -92,7 +92,7 @@
         """An instance speaks from its own address: whoever had that before is over, without suspicion."""
         if source != (record.claim.host, record.claim.port):
             return
-        for other in self._table.at(source):
+        for other in self._table.up_at(source):
             if other is not record:
                 self._suspicions.declare_failed(other, now)
 
--- a/cairnvane/membership/evidence.py
+++ b/cairnvane/membership/evidence.py
@@ -51,10 +51,10 @@
     """
     failed = _failed_without_successor(own, table)
     silent = {record.claim.life for record in failed}
-    silent.update(record.claim.life for record in table.standing(Status.SUSPECT))
+    silent.update(record.claim.life for record in table.with_status(Status.SUSPECT))
     still_lost = {instance_id: at for instance_id, at in lost_at.items() if instance_id in silent}
     lost_at_once = max_concurrent(list(still_lost.values()), loss_window)
-    alive = table.standing(Status.ALIVE)
+    alive = table.with_status(Status.ALIVE)
     recently_heard = sum(now - record.last_heard_at < heard_lease for record in alive)
     evidence = Evidence(
         previously_up=1 + len(alive) + lost_at_once,
@@ -70,7 +70,7 @@
 
 
 def _failed_without_successor(own: Claim, table: Table) -> list[MemberRecord]:
-    failed = table.standing(Status.FAILED)
+    failed = table.with_status(Status.FAILED)
     if not failed:
         return []
     servers_up = {(record.claim.name, record.claim.place) for record in table.up_records()}
--- a/cairnvane/membership/failure_detector.py
+++ b/cairnvane/membership/failure_detector.py
@@ -130,7 +130,7 @@
         silent_helpers = max(1, min(2, ping.helpers_asked - ping.nacks))
         self._health.degrade(silent_helpers if ping.helpers_asked > 1 else 1)
         record = self._table.lives.get(ping.target)
-        if record is None or not record.there:
+        if record is None or not record.is_up:
             return
         reason = (
             f"no answer to probe {ping.number}, {ping.nacks} of "
--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -49,7 +49,7 @@
         return Status(self.claim.status)
 
     @property
-    def there(self) -> bool:
+    def is_up(self) -> bool:
         """Whether it is taken for alive: it counts, and is pinged."""
         return self.claim.status <= Status.SUSPECT
 
@@ -79,7 +79,7 @@
             self._by_status[Status.ALIVE], self._by_status[Status.SUSPECT]
         )
 
-    def take(self, claim: Claim, now: int) -> MemberRecord | None:
+    def merge(self, claim: Claim, now: int) -> MemberRecord | None:
         """Merge a claim; returns the instance's record if that changed anything."""
         record = self.lives.get(claim.life)
         if record is None:
@@ -103,14 +103,14 @@
         self.version += 1
         claim = record.claim
         self._by_status[claim.status][claim.life] = record
-        if record.there:
+        if record.is_up:
             self._up_by_address.setdefault((claim.host, claim.port), {})[claim.life] = record
 
     def _withdraw(self, record: MemberRecord) -> None:
         """Take a record out of the indexes."""
         claim = record.claim
         del self._by_status[claim.status][claim.life]
-        if not record.there:
+        if not record.is_up:
             return
         address = (claim.host, claim.port)
         del self._up_by_address[address][claim.life]
@@ -138,11 +138,11 @@
         suspects = self._by_status[Status.SUSPECT].values()
         return [*alive, *suspects]
 
-    def at(self, where: tuple[str, int]) -> list[MemberRecord]:
+    def up_at(self, address: tuple[str, int]) -> list[MemberRecord]:
         """Instances at this address that are taken for alive."""
-        return list(self._up_by_address.get(where, {}).values())
+        return list(self._up_by_address.get(address, {}).values())
 
-    def standing(self, status: Status = Status.FAILED) -> list[MemberRecord]:
+    def with_status(self, status: Status = Status.FAILED) -> list[MemberRecord]:
         """Instances of this status."""
         return list(self._by_status[status].values())
 
@@ -156,7 +156,7 @@
         Returns the instances. Gossip about one of them that still goes round would make it known again, and
         it would be declared failed once more.
         """
-        tombstones = [*self.standing(Status.FAILED), *self.standing(Status.LEFT)]
+        tombstones = [*self.with_status(Status.FAILED), *self.with_status(Status.LEFT)]
         expired = {record.claim.life for record in tombstones if now - record.status_since > retention}
         by_name: dict[str, list[MemberRecord]] = {}
         for record in tombstones:
--- a/cairnvane/membership/state_exchange.py
+++ b/cairnvane/membership/state_exchange.py
@@ -96,8 +96,8 @@
     def _ping_failed_member(self) -> None:
         failed = [
             record
-            for record in self._table.standing(Status.FAILED)
-            if not self._table.at((record.claim.host, record.claim.port))
+            for record in self._table.with_status(Status.FAILED)
+            if not self._table.up_at((record.claim.host, record.claim.port))
         ]
         if failed:
             target = self._random.choice(failed).claim.life
@@ -113,7 +113,7 @@
     def _is_known(self, contact: Address) -> bool:
         """Whether a member is up at one of the ports of this contact."""
         host, port = contact
-        return any(self._table.at((host, port + offset)) for offset in range(self._spare_ports + 1))
+        return any(self._table.up_at((host, port + offset)) for offset in range(self._spare_ports + 1))
 
     def views(self, answer: bool) -> list[View]:
         """The whole state in messages; `answer`: the peer is to send its own."""
--- a/cairnvane/membership/suspicion.py
+++ b/cairnvane/membership/suspicion.py
@@ -42,7 +42,7 @@
             self.confirm(record, by)
             return
         claim = record.claim.saying(Status.SUSPECT, record.claim.incarnation, by)
-        self._table.take(claim, now)
+        self._table.merge(claim, now)
         self.begin(record, by, now)
         self._counts.suspected += 1
         self._dissemination.claims.add(claim)
@@ -72,7 +72,7 @@
             "suspected_us": now - record.status_since,
             "probed": record.final_pings,
         }
-        self._table.take(claim, now)
+        self._table.merge(claim, now)
         self._counts.failed += 1
         self._dissemination.claims.add(claim)
         self._outbox.report("member.failed", claim, by=self._local.instance_id, **evidence)
@@ -83,13 +83,13 @@
 
     def due_times(self, final_pings_needed: int) -> list[int]:
         """When there is something to do for each suspect."""
-        suspects = self._table.standing(Status.SUSPECT)
+        suspects = self._table.with_status(Status.SUSPECT)
         members = len(self._table.up) + 1
         return [self._due_at(record, members, len(suspects), final_pings_needed) for record in suspects]
 
     def tick(self, now: int, final_pings_needed: int) -> None:
         """Clear, ping once more, or declare failed each suspect that is due."""
-        suspects = self._table.standing(Status.SUSPECT)
+        suspects = self._table.with_status(Status.SUSPECT)
         for record in suspects:
             members = len(self._table.up) + 1
             self._review(record, now, members, len(suspects), final_pings_needed)
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -109,7 +109,7 @@
         """What consumers may rely on."""
         return self._partition.detector.assessment
 
-    def there(self) -> list[MemberRecord]:
+    def up_members(self) -> list[MemberRecord]:
         """Members taken for alive, this one not among them."""
         return self.table.up_records()
 
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -32,7 +32,8 @@
 def suspects_of(member: SwimMember) -> dict[int, Address]:
     """The addresses of all members that this one suspects, by process id."""
     return {
-        life.claim.life: (life.claim.host, life.claim.port) for life in member.table.standing(Status.SUSPECT)
+        life.claim.life: (life.claim.host, life.claim.port)
+        for life in member.table.with_status(Status.SUSPECT)
     }
 
 
@@ -43,7 +44,11 @@
     for action in out:
         if isinstance(action, ReportEvent) and action.event == "member.failed" and "probed" in action.details:
             life = int(action.details["life"], 16)
-            if life in suspects and action.details["probed"] < CHECKS and not member.table.at(suspects[life]):
+            if (
+                life in suspects
+                and action.details["probed"] < CHECKS
+                and not member.table.up_at(suspects[life])
+            ):
                 raise InvariantError(f"n{number} fails {life} without last probes")
 
 
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -40,7 +40,7 @@
         "no-refutation": lambda: mock.patch.object(SwimMember, "_told_of_us", nobody),
         "refutes-as-before": lambda: mock.patch.object(SwimMember, "_told_of_us", refute_as_before),
         "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
-        "any-claim-counts": lambda: mock.patch.object(Table, "take", take_any),
+        "any-claim-counts": lambda: mock.patch.object(Table, "merge", take_any),
         "others-raise-incarnations": lambda: mock.patch.object(Claim, "saying", suspect_higher),
         "rumours-for-ever": lambda: mock.patch.object(ClaimQueue, "pick", keep_telling),
         "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -70,11 +70,11 @@
     def failed(self, life: int) -> bool:
         """Whether it declares this process failed."""
         known = self.member.table.lives.get(life)
-        return known is not None and not known.there
+        return known is not None and not known.is_up
 
     def sees(self) -> set[int]:
         """The processes that it takes for alive."""
-        return {known.claim.life for known in self.member.there()}
+        return {known.claim.life for known in self.member.up_members()}
 
 
 class Heartbeat:
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -81,7 +81,7 @@
         """The first member suspects the second, and no other has heard of it yet."""
         state = self.joined()
         for _ in range(MAX_STEPS_TO_SUSPICION):
-            if any(load(state.members[0]).table.standing(Status.SUSPECT)):
+            if any(load(state.members[0]).table.with_status(Status.SUSPECT)):
                 return replace(state, in_flight=())
             state = self._tick(state)
             state = _without_messages_of(state, 1)
--- a/tests/membership/test_cluster_changes.py
+++ b/tests/membership/test_cluster_changes.py
@@ -49,7 +49,7 @@
     world = start_cluster(5)
     world.run(world.now + 3 * SECOND)
     member = member_of(world, 3)
-    assert all(life.phase is Phase.SERVING for life in member_of(world, 0).there())
+    assert all(life.phase is Phase.SERVING for life in member_of(world, 0).up_members())
     world._do(3, member.leave(world.now))
     world.run(world.now + SECOND // 2)
     world.kill(3)
--- a/tests/membership/test_member_claims.py
+++ b/tests/membership/test_member_claims.py
@@ -29,9 +29,9 @@
     shuffled = received * 2
     rng.shuffle(shuffled)
     for claim in received:
-        table.take(claim, 0)
+        table.merge(claim, 0)
     for claim in shuffled:
-        shuffled_table.take(claim, 0)
+        shuffled_table.merge(claim, 0)
     ranks = {life: record.claim.rank for life, record in table.lives.items()}
     assert ranks == {life: record.claim.rank for life, record in shuffled_table.lives.items()}
 
@@ -48,13 +48,13 @@
         (make_claim(status=3), 3),
         (make_claim(incarnation=9), 3),
     ):
-        table.take(claim, 0)
+        table.merge(claim, 0)
         assert table.lives[1].status == status
 
 
 def test_metadata_keys_of_a_later_version_are_kept_and_oversized_metadata_is_not() -> None:
     table = Table()
-    table.take(make_claim(), 0)
+    table.merge(make_claim(), 0)
     assert table.update_metadata(Info(1, 0, 2, {"load": 0.5, "of a later version": "x"}))
     assert not table.update_metadata(Info(1, 0, 1, {"load": 0.9}))
     assert not table.update_metadata(Info(1, 0, 3, {"a": "x" * 999}))
@@ -64,7 +64,7 @@
 def test_tombstones_expire_by_age_and_by_number() -> None:
     table = Table()
     for life in range(1, 9):
-        table.take(make_claim(life, 2), life)
+        table.merge(make_claim(life, 2), life)
     assert table.remove_expired(10, retention=100, max_per_name=4) == [1, 2, 3, 4]
     assert table.remove_expired(107, retention=100, max_per_name=4) == [5, 6] and set(table.lives) == {7, 8}
 
--- a/tests/membership/test_network_partitions.py
+++ b/tests/membership/test_network_partitions.py
@@ -67,9 +67,9 @@
     world.run(world.now + 5 * SECOND)
     member = member_of(world, 0)
     before = member.assessment
-    life = next(one for one in member.there() if one.claim.name == "n2")
+    life = next(one for one in member.up_members() if one.claim.name == "n2")
     member.table.drop(life.claim.life)
-    member.table.take(msgspec.structs.replace(life.claim, life=99, name="n9"), world.now)
+    member.table.merge(msgspec.structs.replace(life.claim, life=99, name="n9"), world.now)
     member.table.lives[99].last_heard_at = life.last_heard_at
     member.tick(world.now)
     assert (member.assessment.min_members, member.assessment.max_members) == (
