--- a/cairnvane/membership/claims.py
+++ b/cairnvane/membership/claims.py
@@ -69,7 +69,7 @@
         left = self.status == Status.LEFT
         return (_LEFT_RANK if left else self.incarnation, self.status)
 
-    def saying(self, status: Status, incarnation: int, by: int) -> Claim:
+    def with_status(self, status: Status, incarnation: int, by: int) -> Claim:
         """The same instance with another status, incarnation and accuser."""
         return msgspec.structs.replace(self, status=int(status), incarnation=incarnation, by=by)
 
--- a/cairnvane/membership/local_member.py
+++ b/cairnvane/membership/local_member.py
@@ -43,7 +43,7 @@
 
     def mark_left(self) -> None:
         """Claim to have left; that is final."""
-        self.claim = self.claim.saying(Status.LEFT, self.claim.incarnation, 0)
+        self.claim = self.claim.with_status(Status.LEFT, self.claim.incarnation, 0)
 
     def needs_refutation(self, claim: Claim) -> bool:
         """Whether a claim of somebody else about this member is wrong and would override its own."""
@@ -53,4 +53,4 @@
 
     def refute(self, claim: Claim) -> None:
         """Claim to be alive in an incarnation above that of the other claim."""
-        self.claim = self.claim.saying(Status.ALIVE, claim.incarnation + 1, 0)
+        self.claim = self.claim.with_status(Status.ALIVE, claim.incarnation + 1, 0)
--- a/cairnvane/membership/suspicion.py
+++ b/cairnvane/membership/suspicion.py
@@ -41,7 +41,7 @@
         if record.status is Status.SUSPECT:
             self.confirm(record, by)
             return
-        claim = record.claim.saying(Status.SUSPECT, record.claim.incarnation, by)
+        claim = record.claim.with_status(Status.SUSPECT, record.claim.incarnation, by)
         self._table.merge(claim, now)
         self.begin(record, by, now)
         self._counts.suspected += 1
@@ -53,7 +53,7 @@
         if not accuser or accuser in record.accusers:
             return
         record.accusers.add(accuser)
-        claim = record.claim.saying(Status.SUSPECT, record.claim.incarnation, accuser)
+        claim = record.claim.with_status(Status.SUSPECT, record.claim.incarnation, accuser)
         self._dissemination.claims.add(claim)
 
     def begin(self, record: MemberRecord, by: int, now: int) -> None:
@@ -66,7 +66,7 @@
 
     def declare_failed(self, record: MemberRecord, now: int) -> None:
         """Claim that a member has failed."""
-        claim = record.claim.saying(Status.FAILED, record.claim.incarnation, self._local.instance_id)
+        claim = record.claim.with_status(Status.FAILED, record.claim.incarnation, self._local.instance_id)
         evidence = {
             "accusers": len(record.accusers),
             "suspected_us": now - record.status_since,
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -41,7 +41,7 @@
         "refutes-as-before": lambda: mock.patch.object(SwimMember, "_told_of_us", refute_as_before),
         "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
         "any-claim-counts": lambda: mock.patch.object(Table, "merge", take_any),
-        "others-raise-incarnations": lambda: mock.patch.object(Claim, "saying", suspect_higher),
+        "others-raise-incarnations": lambda: mock.patch.object(Claim, "with_status", suspect_higher),
         "rumours-for-ever": lambda: mock.patch.object(ClaimQueue, "pick", keep_telling),
         "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
     }
