--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -66,7 +66,7 @@
         self._outbox = context.outbox
         self._dissemination = Dissemination(context)
         self._claim_queue = self._dissemination.claims
-        self._numbers: dict[int, ReplayWindow] = {}  # by sending instance
+        self._replay_windows: dict[int, ReplayWindow] = {}  # by sending instance
         self._partition = PartitionMonitor(context, now)
         self._suspicions = Suspicions(context, self._dissemination, self._partition, now)
         self._detector = FailureDetector(context, self._dissemination, self._suspicions, now)
@@ -113,19 +113,19 @@
         """Members taken for alive, this one not among them."""
         return self.table.up_records()
 
-    def carry(self, told: dict[str, Any]) -> None:
+    def publish_metadata(self, values_to_add: dict[str, Any]) -> None:
         """Publish these values from now on, beside those published before; `ValueError` if too large."""
-        values = self._local.merged_metadata(told)
+        values = self._local.merged_metadata(values_to_add)
         if values != self.metadata.metadata:
             self._publish(values)
 
-    def phase(self, phase: Phase) -> None:
+    def publish_phase(self, phase: Phase) -> None:
         """Publish that this member is joining, serving, draining or leaving."""
-        self.carry({"phase": int(phase)})
+        self.publish_metadata({"phase": int(phase)})
 
     def leave(self, now: int) -> list[Action]:
         """Announce to some members at once that this one leaves, so that nobody suspects it."""
-        self.phase(Phase.LEAVING)
+        self.publish_phase(Phase.LEAVING)
         self._local.mark_left()
         self._claim_queue.add(self.own)
         recipient_count = FAREWELLS_PER_HELPER * self.options.helpers
@@ -167,7 +167,7 @@
     def handle(self, now: int, life: int, number: int, source: Address, message: Message) -> list[Action]:
         """Take a message that was opened, from this instance under this number.
 
-        A `View` that asks for an answer gets it from the driver, out of `whole`.
+        A `View` that asks for an answer gets it from the driver, out of `state_messages`.
         """
         actions = self._outbox.begin_step()
         if life == self.own.life or self._local.has_left:
@@ -183,21 +183,21 @@
             self._merger.replace_predecessors(record, source, now)
         return actions
 
-    def whole(self, answer: bool) -> list[View]:
+    def state_messages(self, answer: bool) -> list[View]:
         """The whole state in messages; `answer`: the peer is to send its own."""
         return self._state_exchange.views(answer)
 
-    def tend(self) -> None:
+    def drop_unknown_replay_windows(self) -> None:
         """Drop the replay windows of senders that are not in the table: only those can be replayed."""
-        unknown = [instance_id for instance_id in self._numbers if instance_id not in self.table.lives]
+        unknown = [instance_id for instance_id in self._replay_windows if instance_id not in self.table.lives]
         for instance_id in unknown:
-            del self._numbers[instance_id]
+            del self._replay_windows[instance_id]
 
     # --- messages
 
     def _accepts(self, sender: int, number: int) -> bool:
         """Whether a datagram is neither a replay nor from an instance that has left."""
-        window = self._numbers.setdefault(sender, ReplayWindow())
+        window = self._replay_windows.setdefault(sender, ReplayWindow())
         if not window.accept(number):
             self.counts.replayed += 1
             return False
@@ -230,7 +230,7 @@
         """Merge what rides on a message."""
         for claim in claims:
             if claim.life == self.own.life:
-                self._told_of_us(claim)
+                self._refute_claim(claim)
             elif is_valid_claim(claim):
                 self._merger.merge(claim, now)
             else:
@@ -239,7 +239,7 @@
             if info.life != self.own.life and self.table.update_metadata(info):
                 self._dissemination.metadata.add(info)
 
-    def _told_of_us(self, claim: Claim) -> None:
+    def _refute_claim(self, claim: Claim) -> None:
         """Refute a wrong claim about this member."""
         if not self._local.needs_refutation(claim):
             return
@@ -283,12 +283,12 @@
         """Join, exchange states, look for failed members, and forget those that are long gone."""
         self._state_exchange.join_if_due(now)
         if self.table.up and self._local.is_joining:
-            self.phase(Phase.SERVING)
+            self.publish_phase(Phase.SERVING)
         self._state_exchange.exchange_if_due(now)
         if self._state_exchange.revisit_is_due(now):
             self._revisit(now)
             self._remove_expired(now)
-            self.tend()
+            self.drop_unknown_replay_windows()
 
     def _revisit(self, now: int) -> None:
         """Look for a member that was declared failed, or for one that nobody knows any more."""
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -131,7 +131,7 @@
 
     def drain(self) -> None:
         """Publish that this server is draining."""
-        self._run_in_thread(lambda: self._member.phase(Phase.DRAINING))
+        self._run_in_thread(lambda: self._member.publish_phase(Phase.DRAINING))
 
     def close(self, wait_s: float = 0.5) -> None:
         """Announce that this member leaves, and end the thread."""
@@ -189,7 +189,7 @@
         self._member.external_signals = self._external_signals()
         if now >= self._metadata_at:
             self._metadata_at = now + METADATA_INTERVAL_US
-            self._member.carry(self._metadata())
+            self._member.publish_metadata(self._metadata())
         self._perform(self._member.tick(now))
 
     def _on_ready(self, key: selectors.SelectorKey) -> None:
@@ -224,7 +224,7 @@
         return seal(self._key, self._member.own.life, self._last_number, message)
 
     def _framed_state(self, answer: bool) -> bytes:
-        return frame([self._sealed(view) for view in self._member.whole(answer)])
+        return frame([self._sealed(view) for view in self._member.state_messages(answer)])
 
     def _send(self, address: Address, message: Message) -> None:
         data = self._sealed(message)
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -190,9 +190,9 @@
         except Exception as error:
             report.errors.append(f"{name}, {datagram[:40].hex()}: {type(error).__name__} {error}")
         if (number + 1) % PROGRESS_DATAGRAMS == 0:
-            member.tend()
+            member.drop_unknown_replay_windows()
             say(f"{number + 1} datagrams")
-    member.tend()
+    member.drop_unknown_replay_windows()
     report.grown_kb = _peak_memory_kb() - memory_before_kb
 
 
@@ -204,8 +204,8 @@
         for life in sorted(before.keys() | after.keys())
         if before.get(life) != after.get(life)
     ]
-    if len(member._numbers) > len(member.table.lives):
-        changes.append(f"{len(member._numbers)} senders are remembered")
+    if len(member._replay_windows) > len(member.table.lives):
+        changes.append(f"{len(member._replay_windows)} senders are remembered")
     return changes
 
 
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -37,8 +37,8 @@
         return None
 
     return {
-        "no-refutation": lambda: mock.patch.object(SwimMember, "_told_of_us", nobody),
-        "refutes-as-before": lambda: mock.patch.object(SwimMember, "_told_of_us", refute_as_before),
+        "no-refutation": lambda: mock.patch.object(SwimMember, "_refute_claim", nobody),
+        "refutes-as-before": lambda: mock.patch.object(SwimMember, "_refute_claim", refute_as_before),
         "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
         "any-claim-counts": lambda: mock.patch.object(Table, "merge", take_any),
         "others-raise-incarnations": lambda: mock.patch.object(Claim, "with_status", suspect_higher),
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -271,7 +271,7 @@
         for source, sink, answer in ((number, to, True), (to, number, False)):
             player, other = self.players[source], self.players[sink]
             assert isinstance(player, Swim)
-            for view in player.member.whole(answer):
+            for view in player.member.state_messages(answer):
                 self._count_message(player.life, view)
                 self._do(sink, other.handle(self.now, player.life, 0, _address_of(source), view))
         self._arm(to)
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -111,7 +111,9 @@
         for action in actions:
             if isinstance(action, ReportEvent):
                 continue
-            messages: list[Message] = [action.message] if isinstance(action, Send) else [*member.whole(True)]
+            messages: list[Message] = (
+                [action.message] if isinstance(action, Send) else [*member.state_messages(True)]
+            )
             for message in messages:
                 envelope = Envelope(action.to, member.own.life, sent + len(out) + 1, source, message)
                 if not isinstance(message, View):
@@ -134,7 +136,7 @@
         if isinstance(envelope.message, View) and envelope.message.answer:
             more += [
                 Envelope(envelope.source, member.own.life, sent + len(more) + number, envelope.to, view)
-                for number, view in enumerate(member.whole(False), start=1)
+                for number, view in enumerate(member.state_messages(False), start=1)
             ]
         return out, more
 
--- a/tests/membership/test_member_envelope.py
+++ b/tests/membership/test_member_envelope.py
@@ -60,7 +60,7 @@
 def test_a_state_in_parts_holds_each_instance_once() -> None:
     world = start_cluster(80)
     member = member_of(world, 0)
-    views = member.whole(True)
+    views = member.state_messages(True)
     assert [view.answer for view in views] == [True, False]
     lives = [claim.life for view in views for claim in view.claims]
     assert len(lives) == len(set(lives)) == 80
--- a/tests/membership/test_network_partitions.py
+++ b/tests/membership/test_network_partitions.py
@@ -134,7 +134,7 @@
     return None
 
 
-@pytest.mark.parametrize(("rule", "members"), [("_told_of_us", 5), ("_revisit", 5)])
+@pytest.mark.parametrize(("rule", "members"), [("_refute_claim", 5), ("_revisit", 5)])
 def test_without_refutations_or_pings_of_failed_members_a_partition_never_heals(
     rule: str,
     members: int,
