--- a/cairnvane/membership/local_health.py
+++ b/cairnvane/membership/local_health.py
@@ -21,7 +21,7 @@
 NON_DECIDER_FACTOR = 2
 # Before it declares a suspect failed, a member pings it itself: so often, once more for each point of its own
 # score, and this often at most. A suspect whose refutation was lost is heard then.
-CHECKS = 3
+MIN_FINAL_PINGS = 3
 MAX_FINAL_PINGS = 8
 # Of several concurrent suspects each waits longer: once more for each further tenth of the cluster, or each
 # further two members, and three times at most. The path to all of them may be bad, and refutations take
@@ -52,12 +52,12 @@
     return min(CONCURRENT_MAX_FACTOR, 1 + further_suspects / members_per_step)
 
 
-def checks(score: int, attempts: int) -> int:
+def required_final_pings(score: int, attempts: int) -> int:
     """How many pings a suspect gets before it is declared failed, at this score of local health.
 
     `attempts`: how often any member is pinged before it is suspected; the pings are no fewer.
     """
-    return max(attempts, min(MAX_FINAL_PINGS, CHECKS + score))
+    return max(attempts, min(MAX_FINAL_PINGS, MIN_FINAL_PINGS + score))
 
 
 class LocalHealth:
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -23,7 +23,7 @@
 from .envelope import ReplayWindow
 from .evidence import ExternalSignals
 from .failure_detector import FailureDetector
-from .local_health import checks
+from .local_health import required_final_pings
 from .local_member import LocalMember
 from .member_table import MemberRecord
 from .messages import Ack, Ask, Message, Nack, Ping, View
@@ -259,7 +259,7 @@
 
     def _final_pings_needed(self) -> int:
         """How many pings a suspect gets before it is declared failed."""
-        return checks(self.health.score, self.ping_loss.attempts_needed())
+        return required_final_pings(self.health.score, self.ping_loss.attempts_needed())
 
     def _resume_after_delay(self, now: int, delay: int) -> None:
         """This process stood still: what is due by the clock is not due by what it could have heard."""
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from ...membership.local_health import CHECKS
+from ...membership.local_health import MIN_FINAL_PINGS
 from ...membership.member_table import Status
 from ...membership.swim import Action, Address, ReportEvent, SwimMember
 
@@ -46,7 +46,7 @@
             life = int(action.details["life"], 16)
             if (
                 life in suspects
-                and action.details["probed"] < CHECKS
+                and action.details["probed"] < MIN_FINAL_PINGS
                 and not member.table.up_at(suspects[life])
             ):
                 raise InvariantError(f"n{number} fails {life} without last probes")
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -43,7 +43,7 @@
         "any-claim-counts": lambda: mock.patch.object(Table, "merge", take_any),
         "others-raise-incarnations": lambda: mock.patch.object(Claim, "with_status", suspect_higher),
         "rumours-for-ever": lambda: mock.patch.object(ClaimQueue, "pick", keep_telling),
-        "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
+        "no-last-probes": lambda: mock.patch.object(swim, "required_final_pings", lambda doubt, tries: 0),
     }
 
 
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -95,7 +95,7 @@
 
 def test_without_final_pings_members_that_are_up_are_declared_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(suspicion, "suspicion_timeout_us", lambda *args: 1_000)
-    monkeypatch.setattr(swim, "checks", lambda doubt, tries: 0)
+    monkeypatch.setattr(swim, "required_final_pings", lambda doubt, tries: 0)
     monkeypatch.setattr(ping_schedule.PingLossEstimator, "attempts_needed", lambda loss: 2)
     world = start_cluster(5)
     world.loss = 0.3
