--- a/cairnvane/membership/claims.py
+++ b/cairnvane/membership/claims.py
@@ -20,7 +20,7 @@
 MAX_METADATA_KEYS = 24
 MAX_METADATA_BYTES = 256
 # Limits of a claim's texts, in characters.
-MOST_NAME = 40
+MAX_NAME_LENGTH = 40
 MAX_PLACE_LENGTH = 64
 # No instance comes to this by refuting once a millisecond for a year.
 MAX_INCARNATION = 1 << 35
@@ -98,7 +98,7 @@
     datagram.
     """
     valid_numbers = 0 < claim.port <= MAX_PORT and 0 <= claim.incarnation < MAX_INCARNATION
-    valid_texts = len(claim.name) <= MOST_NAME and len(claim.place) <= MAX_PLACE_LENGTH
+    valid_texts = len(claim.name) <= MAX_NAME_LENGTH and len(claim.place) <= MAX_PLACE_LENGTH
     valid_status = claim.status in tuple(Status)
     return valid_numbers and valid_texts and valid_status and IPV4.fullmatch(claim.host) is not None
 
--- a/cairnvane/membership/failure_detector.py
+++ b/cairnvane/membership/failure_detector.py
@@ -47,7 +47,7 @@
         suspicions: Suspicions,
         now: int,
     ) -> None:
-        self.loss = PingLossEstimator(context.options.helpers, context.options.most_tries)
+        self.loss = PingLossEstimator(context.options.helpers, context.options.max_attempts)
         self.schedule = PingSchedule(context.random)
         self._options = context.options
         self._local = context.local
--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -7,7 +7,7 @@
 
 from .claims import (
     IPV4,
-    MOST_NAME,
+    MAX_NAME_LENGTH,
     Claim,
     Info,
     Phase,
@@ -18,7 +18,7 @@
 
 __all__ = [
     "IPV4",
-    "MOST_NAME",
+    "MAX_NAME_LENGTH",
     "Claim",
     "Info",
     "MemberRecord",
--- a/cairnvane/membership/messages.py
+++ b/cairnvane/membership/messages.py
@@ -10,7 +10,7 @@
 from .envelope import EnvelopeError, EnvelopeFault, open_envelope, seal_body
 
 # Below what any path carries in one piece; a larger datagram is rejected.
-MOST_BYTES = 1_400
+MAX_DATAGRAM_BYTES = 1_400
 # How many claims and metadata entries are piggybacked on one datagram.
 MAX_CLAIMS = 6
 MAX_METADATA_ENTRIES = 2
@@ -81,7 +81,7 @@
     return seal_body(key, life, number, _ENCODER.encode(message))
 
 
-def unseal(key: bytes, data: bytes, max_bytes: int = MOST_BYTES) -> OpenedMessage:
+def unseal(key: bytes, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> OpenedMessage:
     """Open an envelope and decode its message; `EnvelopeError` if it is none."""
     envelope = open_envelope(key, data, max_bytes)
     try:
--- a/cairnvane/membership/options.py
+++ b/cairnvane/membership/options.py
@@ -14,7 +14,7 @@
     period: int = 200_000  # between two pings
     ack_timeout: int = 80_000  # until helpers are asked to ping as well
     helpers: int = 3  # asked for an indirect ping
-    most_tries: int = MAX_ATTEMPTS  # attempts of one ping, where links lose datagrams
+    max_attempts: int = MAX_ATTEMPTS  # attempts of one ping, where links lose datagrams
     suspicion: int = 350_000  # the least wait before a suspect is declared failed
     exchange_interval: int = 10_000_000  # between two state exchanges; the actual time is drawn around it
     revisit_interval: int = 1_000_000  # between two pings of members that were declared failed
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -20,7 +20,7 @@
 from .claims import Claim, Phase
 from .envelope import EnvelopeError
 from .evidence import ExternalSignals
-from .messages import MOST_BYTES, Message, seal, unseal
+from .messages import MAX_DATAGRAM_BYTES, Message, seal, unseal
 from .options import Options
 from .snapshot import MembershipSnapshot, described, take_snapshot
 from .sockets import open_sockets
@@ -229,7 +229,7 @@
     def _send(self, address: Address, message: Message) -> None:
         data = self._sealed(message)
         allowed = self._limits.allow_sending(len(data))
-        if not allowed or len(data) > MOST_BYTES:
+        if not allowed or len(data) > MAX_DATAGRAM_BYTES:
             self.counts["not sent"] += 1
             return
         self.counts["sent"] += 1
@@ -240,11 +240,11 @@
     def _read_datagrams(self) -> None:
         for _ in range(READ_BATCH):
             try:
-                data, source = self._sockets.udp.recvfrom(MOST_BYTES + 1)
+                data, source = self._sockets.udp.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:  # none left, or the error of an earlier datagram that was not delivered
                 return
             if self._limits.allow_receiving():
-                self._take(data, source, MOST_BYTES)
+                self._take(data, source, MAX_DATAGRAM_BYTES)
             else:
                 self.counts["flooded"] += 1
 
--- a/cairnvane/server/member_setup.py
+++ b/cairnvane/server/member_setup.py
@@ -33,10 +33,12 @@
 
 def check_name(name: str) -> None:
     """Raise a `ConfigurationError` if the server's name does not fit into the members' messages."""
-    from ..membership.member_table import MOST_NAME
+    from ..membership.member_table import MAX_NAME_LENGTH
 
-    if len(name) > MOST_NAME:
-        raise config.ConfigurationError(f"members: the name {name!r} is longer than {MOST_NAME} characters")
+    if len(name) > MAX_NAME_LENGTH:
+        raise config.ConfigurationError(
+            f"members: the name {name!r} is longer than {MAX_NAME_LENGTH} characters"
+        )
 
 
 def _log_event(event: ReportEvent) -> None:
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...membership.member_table import Claim, Info, Status
-from ...membership.messages import MOST_BYTES, Ack, Ask, Ping, seal
+from ...membership.messages import MAX_DATAGRAM_BYTES, Ack, Ask, Ping, seal
 from ...membership.swim import SwimMember
 from ...membership.transport import MemberTransport
 from ..stand_ins.sockets import HOST
@@ -51,7 +51,7 @@
         self._numbers = itertools.count(1_000)  # none of which was used before
         self.kinds: dict[str, Callable[[], bytes]] = {
             "noise": lambda: rng.randbytes(rng.randrange(0, 200)),
-            "oversized": lambda: rng.randbytes(MOST_BYTES + rng.randrange(1, 100)),
+            "oversized": lambda: rng.randbytes(MAX_DATAGRAM_BYTES + rng.randrange(1, 100)),
             "torn": self._torn,
             "flipped": self._flipped,
             "another key": self._another_key,
@@ -186,7 +186,7 @@
         name, generate = kinds[number % len(kinds)]
         datagram = generate()
         try:
-            transport._take(datagram, (HOST, 1), MOST_BYTES)
+            transport._take(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
         except Exception as error:
             report.errors.append(f"{name}, {datagram[:40].hex()}: {type(error).__name__} {error}")
         if (number + 1) % PROGRESS_DATAGRAMS == 0:
@@ -218,7 +218,7 @@
     member = transport._member
     accepted = _accepted_pings(member, claims)
     for datagram in accepted:
-        transport._take(datagram, (HOST, 1), MOST_BYTES)
+        transport._take(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
     before = _snapshot(member)
     counts_before = Counter(transport.counts)
     replayed_before = member.counts.replayed
--- a/cairnvane/testbed/simulation/membership.py
+++ b/cairnvane/testbed/simulation/membership.py
@@ -87,7 +87,7 @@
 
 
 def _run_detection(way: str, members: int, loss: float, seed: int) -> _Detection:
-    options = Options(suspicion=1_000, most_tries=2) if way == "no suspicion" else Options()
+    options = Options(suspicion=1_000, max_attempts=2) if way == "no suspicion" else Options()
     world = World(seed, 0.0, options, baseline="heartbeat" if way == "heartbeat" else "")
     for number in range(members):
         world.start(number)
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from ...membership.member_table import Claim, Status
-from ...membership.messages import MOST_BYTES, Message, View, seal
+from ...membership.messages import MAX_DATAGRAM_BYTES, Message, View, seal
 from ...membership.swim import Action, ReportEvent, Send, SwimMember
 from .invariants import InvariantError, check_step, check_verdicts, suspects_of, why_unstable
 from .world_states import KEY, Envelope, FaultCounts, FixedRandom, State, address_of, load, number_at
@@ -118,7 +118,7 @@
                 envelope = Envelope(action.to, member.own.life, sent + len(out) + 1, source, message)
                 if not isinstance(message, View):
                     size = len(seal(KEY, envelope.life, envelope.number, message))
-                    if size > MOST_BYTES:
+                    if size > MAX_DATAGRAM_BYTES:
                         raise InvariantError(f"a datagram of {size} bytes")
                 out.append(envelope)
         return out
--- a/tests/membership/test_member_envelope.py
+++ b/tests/membership/test_member_envelope.py
@@ -54,7 +54,7 @@
     long = Claim(1 << 63, "n" * 40, "255.255.255.255:65535", "255.255.255.255", 65_535, 2, 1 << 30, 1 << 63)
     info = Info(1 << 63, 1 << 30, 1 << 30, {"x": "y" * 200})
     largest = Ack(1 << 40, 1 << 63, [long] * messages.MAX_CLAIMS, [info] * messages.MAX_METADATA_ENTRIES)
-    assert len(seal(KEY, 1 << 63, 1 << 63, largest)) < messages.MOST_BYTES
+    assert len(seal(KEY, 1 << 63, 1 << 63, largest)) < messages.MAX_DATAGRAM_BYTES
 
 
 def test_a_state_in_parts_holds_each_instance_once() -> None:
