--- a/cairnvane/membership/observer.py
+++ b/cairnvane/membership/observer.py
@@ -66,7 +66,7 @@
         """A health check was read."""
         self._server.health_check_arrived(check)
 
-    def outside(self) -> ExternalSignals:
+    def external_signals(self) -> ExternalSignals:
         """What is observed outside of the members' channel; called in its thread."""
         now = clock.now()
         if self._event_loop.should_ask(now):
@@ -78,7 +78,7 @@
             event_loop_responsive=self._event_loop.is_responsive(now),
         )
 
-    def carried(self) -> dict[str, Any]:
+    def metadata(self) -> dict[str, Any]:
         """The metadata that this server publishes.
 
         Keys: requests a second (`asked`), the load signal (`free`), calls to the dependency in flight
--- a/cairnvane/membership/snapshot.py
+++ b/cairnvane/membership/snapshot.py
@@ -83,7 +83,7 @@
     )
 
 
-def described(snapshot: MembershipSnapshot) -> dict[str, Any]:
+def snapshot_as_json(snapshot: MembershipSnapshot) -> dict[str, Any]:
     """The JSON form, for the administration endpoint and the command line."""
     assessment = snapshot.assessment
     return {
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -53,9 +53,9 @@
         *,
         contacts: Iterable[Address] = (),
         options: Options | None = None,
-        spares: int = 0,
+        spare_ports: int = 0,
     ) -> None:
-        """`spares`: a contact may be found at so many ports above its own, if a new version took over."""
+        """`spare_ports`: number of ports above a contact's own at which a new version of it may listen."""
         self.options = options or Options()
         self._local = LocalMember(own)
         context = MemberContext(self.options, self._local, rng)
@@ -77,7 +77,7 @@
             self._partition,
             self._detector.schedule,
         )
-        self._state_exchange = StateExchange(context, self._dissemination, now, contacts, spares)
+        self._state_exchange = StateExchange(context, self._dissemination, now, contacts, spare_ports)
         self._last_tick_at = now
         self._event_loop_responsive = True
         self._dissemination.metadata.add(self.metadata)
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -22,13 +22,13 @@
 from .evidence import ExternalSignals
 from .messages import MAX_DATAGRAM_BYTES, Message, seal, unseal
 from .options import Options
-from .snapshot import MembershipSnapshot, described, take_snapshot
+from .snapshot import MembershipSnapshot, snapshot_as_json, take_snapshot
 from .sockets import open_sockets
 from .state_connections import StateConnection, StateConnections, frame
 from .swim import SwimMember
 from .traffic_limits import TrafficLimits
 
-__all__ = ["MemberTransport", "described"]
+__all__ = ["MemberTransport", "snapshot_as_json"]
 
 # So many datagrams are read before timers are looked at again.
 READ_BATCH = 64
@@ -81,29 +81,32 @@
         contacts: list[Address],
         *,
         options: Options | None = None,
-        outside: Callable[[], ExternalSignals] = ExternalSignals,
-        carried: Callable[[], dict[str, Any]] = dict,
-        tell: Callable[[ReportEvent], None] = lambda event: None,
-        ways: Mapping[Address, Address] | None = None,
-        spares: int = 0,
+        external_signals: Callable[[], ExternalSignals] = ExternalSignals,
+        metadata: Callable[[], dict[str, Any]] = dict,
+        report: Callable[[ReportEvent], None] = lambda event: None,
+        routes: Mapping[Address, Address] | None = None,
+        spare_ports: int = 0,
     ) -> None:
         """Bind the sockets; `OSError` if that fails. The same port takes datagrams and state connections.
 
-        `spares`: so many ports above it are tried if it is taken, as by an earlier instance that a new
-        version takes over from. `outside` gives the external signals, `carried` what this server publishes to
-        the others, `tell` gets the events. `ways`: by which address an address is reached from here.
+        `spare_ports`: number of ports above it to try if it is in use, for example by an earlier instance
+        that a new version takes over from. `external_signals` returns the signals observed outside the
+        members' channel, `metadata` the values that this server publishes to other members. `report` receives
+        the events. `routes` maps an address to the one by which it is reached from here.
         """
-        self._sockets = open_sockets(listen, spares)
+        self._sockets = open_sockets(listen, spare_ports)
         self.address: Address = self._sockets.address
         rng = random.Random(os.urandom(16))
         own = Claim(rng.getrandbits(63) | 1, name, place, *self.address, 0, 0)
-        self._member = SwimMember(own, rng, clock.now(), contacts=contacts, options=options, spares=spares)
+        self._member = SwimMember(
+            own, rng, clock.now(), contacts=contacts, options=options, spare_ports=spare_ports
+        )
         self._key = key
-        self._external_signals = outside
-        self._metadata = carried
-        self._report = tell
+        self._external_signals = external_signals
+        self._metadata = metadata
+        self._report = report
         self._metadata_at = 0
-        self._routes = ways or {}
+        self._routes = routes or {}
         self.counts: Counter[str] = Counter()
         self._last_number = 0
         self._limits = TrafficLimits()
--- a/cairnvane/server/administration_setup.py
+++ b/cairnvane/server/administration_setup.py
@@ -33,7 +33,7 @@
 
 def _member_views(transport: MemberTransport) -> dict[str, Callable[[], object]]:
     """The resources that show the members, by path."""
-    from ..membership.transport import described
+    from ..membership.transport import snapshot_as_json
 
     def metrics_text() -> bytes:
         from ..membership import metrics  # imports the metrics library at the first request
@@ -41,7 +41,7 @@
         return metrics.text(transport.snapshot)
 
     return {
-        "/-/members": lambda: described(transport.snapshot),
+        "/-/members": lambda: snapshot_as_json(transport.snapshot),
         "/-/members/metrics": metrics_text,
     }
 
--- a/cairnvane/server/member_setup.py
+++ b/cairnvane/server/member_setup.py
@@ -75,11 +75,11 @@
         configuration.name,
         "{}:{}".format(*configuration.listen),
         options.contact_addresses,
-        outside=observer.outside,
-        carried=observer.carried,
-        tell=_log_event,
-        ways=options.route_addresses,
-        spares=options.spare_ports,
+        external_signals=observer.external_signals,
+        metadata=observer.metadata,
+        report=_log_event,
+        routes=options.route_addresses,
+        spare_ports=options.spare_ports,
     )
     return Membership(observer, transport)
 
--- a/tests/membership/test_cluster_changes.py
+++ b/tests/membership/test_cluster_changes.py
@@ -58,7 +58,7 @@
 
 
 def test_a_contact_is_tried_at_its_spare_ports() -> None:
-    member = SwimMember(make_claim(1), random.Random(1), 0, contacts=[("h", 50)], spares=2)
+    member = SwimMember(make_claim(1), random.Random(1), 0, contacts=[("h", 50)], spare_ports=2)
     tried = {
         action.to
         for step in range(1, 5)
