--- a/cairnvane/membership/claim_merger.py
+++ b/cairnvane/membership/claim_merger.py
@@ -41,7 +41,7 @@
 
     def merge(self, claim: Claim, now: int) -> None:
         """Let a valid claim about another member count, if it says anything new."""
-        record = self._table.lives.get(claim.life)
+        record = self._table.records.get(claim.life)
         if record is None and claim.status >= Status.FAILED:
             # Nobody here ever knew it: kept as a tombstone, so that no older claim makes it known as alive.
             self._table.merge(claim, now)
@@ -63,7 +63,7 @@
     def _follow_up(self, record: MemberRecord, claim: Claim, now: int) -> None:
         if claim.status == Status.SUSPECT:
             self._suspicions.begin(record, claim.by, now)
-            self._schedule.prioritize(claim.life, len(self._table.lives) + 1)
+            self._schedule.prioritize(claim.life, len(self._table.records) + 1)
         elif claim.status == Status.FAILED:
             self._partition.record_loss(claim.life, now)
         else:
@@ -98,7 +98,7 @@
 
     def has_left(self, instance_id: int) -> bool:
         """Whether this instance has left: what it sent before may still arrive."""
-        record = self._table.lives.get(instance_id)
+        record = self._table.records.get(instance_id)
         return record is not None and record.status is Status.LEFT
 
     def forget(self, instance_id: int) -> None:
--- a/cairnvane/membership/dissemination.py
+++ b/cairnvane/membership/dissemination.py
@@ -27,7 +27,7 @@
 
     def address_of(self, instance_id: int) -> Address:
         """Where an instance in the table is reached; `KeyError` if it is not there."""
-        claim = self._table.lives[instance_id].claim
+        claim = self._table.records[instance_id].claim
         return claim.host, claim.port
 
     def forget(self, instance_id: int) -> None:
@@ -37,9 +37,9 @@
 
     def _piggyback(self, recipient: int) -> tuple[list[Claim], list[Info]]:
         """What rides on a message; first what is claimed of its recipient, so that it can refute it."""
-        member_count = len(self._table.lives) + 1
+        member_count = len(self._table.records) + 1
         claims = self.claims.pick(MAX_CLAIMS, member_count, recipient)
-        record = self._table.lives.get(recipient)
+        record = self._table.records.get(recipient)
         if record is not None and record.status is not Status.ALIVE and record.claim not in claims:
             claims = [record.claim, *claims[: MAX_CLAIMS - 1]]
         if record is None or not record.last_heard_at:
--- a/cairnvane/membership/failure_detector.py
+++ b/cairnvane/membership/failure_detector.py
@@ -96,7 +96,7 @@
         ping.attempts += 1
         if not ping.helpers_asked:
             self._ask_helpers(ping)
-        if ping.target in self._table.lives:
+        if ping.target in self._table.records:
             self._dissemination.send_ping(ping.target, ping.number)
         is_last = ping.attempts >= self.loss.attempts_needed()
         # After the last attempt, leave time for the helpers: their answers take longer.
@@ -129,7 +129,7 @@
         # Helpers that are silent too are a sign that it is this member that hears badly.
         silent_helpers = max(1, min(2, ping.helpers_asked - ping.nacks))
         self._health.degrade(silent_helpers if ping.helpers_asked > 1 else 1)
-        record = self._table.lives.get(ping.target)
+        record = self._table.records.get(ping.target)
         if record is None or not record.is_up:
             return
         reason = (
@@ -155,13 +155,13 @@
             del self._outstanding[ping.number]
             self.loss.record_answer(ping.attempts)
             self._health.improve()
-        record = self._table.lives.get(message.target)
+        record = self._table.records.get(message.target)
         if record is not None:
             record.last_heard_at = now
 
     def on_ping_request(self, now: int, requester: Address, message: Ask) -> None:
         """Ping the target on behalf of the requester."""
-        if message.target not in self._table.lives:
+        if message.target not in self._table.records:
             return
         number = self._dissemination.next_number()
         nack_at = now + self._options.ack_timeout
--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -70,7 +70,7 @@
     """
 
     def __init__(self) -> None:
-        self.lives: dict[int, MemberRecord] = {}
+        self.records: dict[int, MemberRecord] = {}
         self.version = 0  # rises with each claim that counts, and each instance that is removed
         self._by_status: dict[int, dict[int, MemberRecord]] = {int(status): {} for status in Status}
         self._up_by_address: dict[tuple[str, int], dict[int, MemberRecord]] = {}
@@ -81,10 +81,10 @@
 
     def merge(self, claim: Claim, now: int) -> MemberRecord | None:
         """Merge a claim; returns the instance's record if that changed anything."""
-        record = self.lives.get(claim.life)
+        record = self.records.get(claim.life)
         if record is None:
             record = MemberRecord(claim, now)
-            self.lives[claim.life] = record
+            self.records[claim.life] = record
             self._enter(record)
             return record
         if claim.rank <= record.claim.rank:
@@ -119,12 +119,12 @@
 
     def drop(self, number: int) -> None:
         """Remove an instance; `KeyError` if it is not there."""
-        self._withdraw(self.lives.pop(number))
+        self._withdraw(self.records.pop(number))
         self.version += 1
 
     def update_metadata(self, info: Info) -> bool:
         """Merge the metadata of an instance; whether it is newer than what was known."""
-        record = self.lives.get(info.life)
+        record = self.records.get(info.life)
         if record is None or not metadata_fits(info.metadata):
             return False
         if record.info is not None and info.rank <= record.info.rank:
--- a/cairnvane/membership/partition_monitor.py
+++ b/cairnvane/membership/partition_monitor.py
@@ -68,7 +68,7 @@
 
     def _heard_lease(self) -> int:
         """Long enough that everybody is heard once within it, whatever the number of members."""
-        return max(self._options.heard_lease, self._options.period * (len(self._table.lives) + 1))
+        return max(self._options.heard_lease, self._options.period * (len(self._table.records) + 1))
 
     def _report(self, before: Assessment, evidence: Evidence) -> None:
         assessment = self.detector.assessment
--- a/cairnvane/membership/snapshot.py
+++ b/cairnvane/membership/snapshot.py
@@ -47,7 +47,7 @@
     """Copy the state of a member; in the thread that drives it."""
     own_metadata = member.metadata.metadata
     own_phase = Phase(own_metadata.get("phase", 0))
-    records = sorted(member.table.lives.values(), key=lambda record: (record.claim.name, record.claim.life))
+    records = sorted(member.table.records.values(), key=lambda record: (record.claim.name, record.claim.life))
     members = tuple(
         _member_view(
             record.claim,
--- a/cairnvane/membership/state_exchange.py
+++ b/cairnvane/membership/state_exchange.py
@@ -72,7 +72,7 @@
         """Exchange whole states with a random member."""
         if now < self._exchange_at:
             return
-        size_factor = max(1.0, len(self._table.lives) / FULL_RATE_MEMBERS)
+        size_factor = max(1.0, len(self._table.records) / FULL_RATE_MEMBERS)
         interval = self._options.exchange_interval * (
             size_factor * self._random.uniform(MIN_JITTER, MAX_JITTER)
         )
@@ -117,8 +117,8 @@
 
     def views(self, answer: bool) -> list[View]:
         """The whole state in messages; `answer`: the peer is to send its own."""
-        claims = [self._local.claim, *(record.claim for record in self._table.lives.values())]
-        metadata_of = {record.claim.life: record.info for record in self._table.lives.values()}
+        claims = [self._local.claim, *(record.claim for record in self._table.records.values())]
+        metadata_of = {record.claim.life: record.info for record in self._table.records.values()}
         metadata_of[self._local.instance_id] = self._local.metadata
         views = []
         for start in range(0, len(claims), MEMBERS_PER_VIEW):
--- a/cairnvane/membership/suspicion.py
+++ b/cairnvane/membership/suspicion.py
@@ -60,7 +60,7 @@
         """Start the timeout of a suspicion that this or another member raised."""
         record.accusers = {by}
         record.final_pings = 0
-        deciders_share = EXPECTED_DECIDERS / (len(self._table.lives) + 1)
+        deciders_share = EXPECTED_DECIDERS / (len(self._table.records) + 1)
         record.decides_suspicion = self._random.random() < deciders_share
         self._partition.record_loss(record.claim.life, now)
 
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -189,7 +189,9 @@
 
     def drop_unknown_replay_windows(self) -> None:
         """Drop the replay windows of senders that are not in the table: only those can be replayed."""
-        unknown = [instance_id for instance_id in self._replay_windows if instance_id not in self.table.lives]
+        unknown = [
+            instance_id for instance_id in self._replay_windows if instance_id not in self.table.records
+        ]
         for instance_id in unknown:
             del self._replay_windows[instance_id]
 
@@ -204,7 +206,7 @@
         return not self._merger.has_left(sender)
 
     def _mark_heard(self, sender: int, now: int) -> MemberRecord | None:
-        record = self.table.lives.get(sender)
+        record = self.table.records.get(sender)
         if record is not None:
             record.last_heard_at = now
         return record
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -154,7 +154,7 @@
 
 def _snapshot(member: SwimMember) -> dict[int, tuple[Any, ...]]:
     """All that a datagram could change in what the member knows."""
-    return {life: (known.claim, known.info) for life, known in member.table.lives.items()} | {
+    return {life: (known.claim, known.info) for life, known in member.table.records.items()} | {
         0: (member.own, sorted(member.table.up), member.table.count(Status.SUSPECT))
     }
 
@@ -204,7 +204,7 @@
         for life in sorted(before.keys() | after.keys())
         if before.get(life) != after.get(life)
     ]
-    if len(member._replay_windows) > len(member.table.lives):
+    if len(member._replay_windows) > len(member.table.records):
         changes.append(f"{len(member._replay_windows)} senders are remembered")
     return changes
 
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -60,16 +60,16 @@
     owned: dict[int, tuple[int, bool]],
 ) -> None:
     """Check the invariants of one member after one step."""
-    for life, known in before.table.lives.items():
-        after = member.table.lives.get(life)
+    for life, known in before.table.records.items():
+        after = member.table.records.get(life)
         if after is not None and after.claim.rank < known.claim.rank:
             raise InvariantError(f"n{number} takes a claim on {life} back")
-    for life, known in member.table.lives.items():
+    for life, known in member.table.records.items():
         highest, left = owned.get(life, (0, False))
         if known.claim.incarnation > highest:
             raise InvariantError(f"n{number} knows an incarnation of {life} that this never gave itself")
         if known.status is Status.LEFT and not left:
             raise InvariantError(f"n{number} takes {life} for one that has left, and it has not said so")
     check_verdicts(number, suspects_of(before), member, out)
-    if len(member._claim_queue) > len(member.table.lives) + 1:
+    if len(member._claim_queue) > len(member.table.records) + 1:
         raise InvariantError(f"n{number} tells more rumours than there are lives")
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -69,7 +69,7 @@
 
     def failed(self, life: int) -> bool:
         """Whether it declares this process failed."""
-        known = self.member.table.lives.get(life)
+        known = self.member.table.records.get(life)
         return known is not None and not known.is_up
 
     def sees(self) -> set[int]:
--- a/tests/membership/test_cluster_changes.py
+++ b/tests/membership/test_cluster_changes.py
@@ -29,7 +29,7 @@
         world.run(world.now + SECOND)
     for number in range(4):
         member = member_of(world, number)
-        assert sum(life.claim.name == "n4" for life in member.table.lives.values()) <= 10
+        assert sum(life.claim.name == "n4" for life in member.table.records.values()) <= 10
         assert len(member._claim_queue) <= 12
     assert agrees(world)
 
--- a/tests/membership/test_member_claims.py
+++ b/tests/membership/test_member_claims.py
@@ -32,8 +32,8 @@
         table.merge(claim, 0)
     for claim in shuffled:
         shuffled_table.merge(claim, 0)
-    ranks = {life: record.claim.rank for life, record in table.lives.items()}
-    assert ranks == {life: record.claim.rank for life, record in shuffled_table.lives.items()}
+    ranks = {life: record.claim.rank for life, record in table.records.items()}
+    assert ranks == {life: record.claim.rank for life, record in shuffled_table.records.items()}
 
 
 def test_only_a_higher_incarnation_revives_a_failed_instance_and_nothing_one_that_left() -> None:
@@ -49,7 +49,7 @@
         (make_claim(incarnation=9), 3),
     ):
         table.merge(claim, 0)
-        assert table.lives[1].status == status
+        assert table.records[1].status == status
 
 
 def test_metadata_keys_of_a_later_version_are_kept_and_oversized_metadata_is_not() -> None:
@@ -58,7 +58,7 @@
     assert table.update_metadata(Info(1, 0, 2, {"load": 0.5, "of a later version": "x"}))
     assert not table.update_metadata(Info(1, 0, 1, {"load": 0.9}))
     assert not table.update_metadata(Info(1, 0, 3, {"a": "x" * 999}))
-    assert table.lives[1].info == Info(1, 0, 2, {"load": 0.5, "of a later version": "x"})
+    assert table.records[1].info == Info(1, 0, 2, {"load": 0.5, "of a later version": "x"})
 
 
 def test_tombstones_expire_by_age_and_by_number() -> None:
@@ -66,7 +66,7 @@
     for life in range(1, 9):
         table.merge(make_claim(life, 2), life)
     assert table.remove_expired(10, retention=100, max_per_name=4) == [1, 2, 3, 4]
-    assert table.remove_expired(107, retention=100, max_per_name=4) == [5, 6] and set(table.lives) == {7, 8}
+    assert table.remove_expired(107, retention=100, max_per_name=4) == [5, 6] and set(table.records) == {7, 8}
 
 
 def test_claims_are_gossiped_a_limited_number_of_times_and_their_number_is_bounded() -> None:
@@ -97,10 +97,10 @@
 def test_an_invalid_claim_adds_no_member(wrong: dict[str, Any]) -> None:
     world = start_cluster(2)
     member = member_of(world, 0)
-    known = set(member.table.lives)
+    known = set(member.table.records)
     good = Claim(55, "n5", "p5", "10.0.0.1", 5, 0, 0)
     bad = msgspec.structs.replace(good, **wrong)
     member.handle(world.now, 77, 1, ("h", 9), Ping(3, member.own.life, [bad]))
-    assert set(member.table.lives) == known and member.counts.insane == 1
+    assert set(member.table.records) == known and member.counts.insane == 1
     member.handle(world.now, 77, 2, ("h", 9), Ping(3, member.own.life, [good]))
-    assert set(member.table.lives) == known | {55}
+    assert set(member.table.records) == known | {55}
--- a/tests/membership/test_network_partitions.py
+++ b/tests/membership/test_network_partitions.py
@@ -70,7 +70,7 @@
     life = next(one for one in member.up_members() if one.claim.name == "n2")
     member.table.drop(life.claim.life)
     member.table.merge(msgspec.structs.replace(life.claim, life=99, name="n9"), world.now)
-    member.table.lives[99].last_heard_at = life.last_heard_at
+    member.table.records[99].last_heard_at = life.last_heard_at
     member.tick(world.now)
     assert (member.assessment.min_members, member.assessment.max_members) == (
         before.min_members,
