--- a/cairnvane/membership/__init__.py
+++ b/cairnvane/membership/__init__.py
@@ -1,10 +1,11 @@
-"""Which bid servers of the cluster are up, which have failed, and whether it is this one that is cut off.
+"""Cluster membership: which bid servers are up, which have failed, and whether this one is partitioned off.
 
-`swim` coordinates one member: `failure_detector` pings, `suspicion` decides on suspects, `claim_merger`
-merges what others claim, `dissemination` and `gossip` pass it on, `state_exchange` joins and exchanges
-whole states, `partition_monitor`, `evidence` and `partition_detector` assess whether this member is cut
-off. `claims`, `member_table`, `messages` and `envelope` are the data. None of them does I/O or reads a
-clock, all chance is handed in. `transport` with `sockets`, `state_connections`, `traffic_limits` and
-`snapshot` drives a member over the network; `observer`, `own_health` and `metrics` connect it to the
-server. `docs/membership.md` weighs the alternatives.
+`swim` coordinates one member: `failure_detector` pings other members, `suspicion` decides on suspects,
+`claim_merger` merges claims of other members, `dissemination` and `gossip` spread claims, `state_exchange`
+joins the cluster and exchanges whole states, and `partition_monitor`, `evidence` and `partition_detector`
+assess whether this member is on the smaller side of a partition. `claims`, `member_table`, `messages` and
+`envelope` define the data. None of these modules does I/O or reads a clock, and the caller passes in the
+random source. `transport` with `sockets`, `state_connections`, `traffic_limits` and `snapshot` runs a member
+over the network; `observer`, `own_health` and `metrics` connect it to the server. `docs/membership.md`
+compares the alternatives.
 """
--- a/cairnvane/membership/actions.py
+++ b/cairnvane/membership/actions.py
@@ -1,4 +1,4 @@
-"""What a member asks its driver to do: send a datagram, exchange whole states, report an event."""
+"""Actions that a member returns to its driver: send a datagram, exchange whole states, report an event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Send the whole state over TCP and take the peer's in return."""
+    """Send the whole state over TCP and receive the peer's whole state in return."""
 
     to: Address
 
@@ -38,7 +38,7 @@
 
 
 class Outbox:
-    """Collects the actions of one step of a member."""
+    """Collects the actions that a member returns from one call of `tick` or `handle`."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -57,7 +57,7 @@
         self._actions.append(Exchange(address))
 
     def report(self, event: str, claim: Claim, by: int = 0, **details: Any) -> None:
-        """Report an event about the claim's subject; `by` is the instance that caused it, 0 if none."""
+        """Report an event about the claim's subject; `by` is the instance that caused it, or 0."""
         subject = {"name": claim.name, "life": f"{claim.life:016x}", "incarnation": claim.incarnation}
         cause = {"by": f"{by:016x}"} if by else {}
         self._actions.append(ReportEvent(event, subject | cause | details))
--- a/cairnvane/membership/claim_merger.py
+++ b/cairnvane/membership/claim_merger.py
@@ -1,4 +1,4 @@
-"""Merges claims about other members into the table, and starts what follows from each. No I/O, no clock."""
+"""Merges claims about other members into the table and triggers their consequences. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ClaimMerger:
-    """Decides which claims count, and owns the record of name conflicts that were reported."""
+    """Applies claims that supersede the known ones, and owns the set of name conflicts already reported."""
 
     def __init__(
         self,
@@ -40,10 +40,10 @@
         self._conflicts_reported: set[int] = set()
 
     def merge(self, claim: Claim, now: int) -> None:
-        """Let a valid claim about another member count, if it says anything new."""
+        """Apply a valid claim about another member if it supersedes the known one or confirms a suspicion."""
         record = self._table.records.get(claim.life)
         if record is None and claim.status >= Status.FAILED:
-            # Nobody here ever knew it: kept as a tombstone, so that no older claim makes it known as alive.
+            # An unknown instance is kept as a tombstone, so that no older claim adds it as alive.
             self._table.merge(claim, now)
             return
         if claim.status == Status.SUSPECT and record is not None and claim.rank == record.claim.rank:
@@ -75,7 +75,7 @@
         self._outbox.report(event, claim, by=claim.by)
 
     def _report_name_conflicts(self, record: MemberRecord) -> None:
-        """Two versions of one server are one member; two servers under one name are a configuration error."""
+        """Report two servers under one name, a configuration error; versions of one server share a place."""
         claim = record.claim
         local = self._local.claim
         if claim.name == local.name and claim.place != local.place:
@@ -89,7 +89,7 @@
         self._outbox.report("member.same_name", claim, place=claim.place, other_place=other_places[0])
 
     def replace_predecessors(self, record: MemberRecord, source: tuple[str, int], now: int) -> None:
-        """An instance speaks from its own address: whoever had that before is over, without suspicion."""
+        """Declare earlier instances failed without suspicion when a newer one sends from their address."""
         if source != (record.claim.host, record.claim.port):
             return
         for other in self._table.up_at(source):
@@ -97,10 +97,10 @@
                 self._suspicions.declare_failed(other, now)
 
     def has_left(self, instance_id: int) -> bool:
-        """Whether this instance has left: what it sent before may still arrive."""
+        """Whether this instance has left; datagrams that it sent before may still arrive."""
         record = self._table.records.get(instance_id)
         return record is not None and record.status is Status.LEFT
 
     def forget(self, instance_id: int) -> None:
-        """An instance is no longer remembered."""
+        """Drop the state about an instance that was removed from the table."""
         self._conflicts_reported.discard(instance_id)
--- a/cairnvane/membership/context.py
+++ b/cairnvane/membership/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one member share."""
+"""State that the components of one member share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class MemberContext:
-    """State that every part of a member may read; all of it belongs to the thread that drives the member."""
+    """State that all components of a member may read; used only in the thread that drives the member."""
 
     options: Options
     local: LocalMember
--- a/cairnvane/membership/dissemination.py
+++ b/cairnvane/membership/dissemination.py
@@ -10,7 +10,7 @@
 
 
 class Dissemination:
-    """Owns what waits to be gossiped, and numbers and writes the messages that carry it."""
+    """Owns the queues of claims and metadata, and builds and numbers the messages that carry them."""
 
     def __init__(self, context: MemberContext) -> None:
         self.claims = ClaimQueue()
@@ -21,22 +21,22 @@
         self._last_number = 0
 
     def next_number(self) -> int:
-        """A number for a ping that no other ping of this member has."""
+        """Return a number that no earlier ping of this member had."""
         self._last_number += 1
         return self._last_number
 
     def address_of(self, instance_id: int) -> Address:
-        """Where an instance in the table is reached; `KeyError` if it is not there."""
+        """The address of an instance in the table; `KeyError` if the table does not contain it."""
         claim = self._table.records[instance_id].claim
         return claim.host, claim.port
 
     def forget(self, instance_id: int) -> None:
-        """Gossip nothing more about this instance."""
+        """Drop the queued claims and metadata of this instance."""
         self.claims.drop(instance_id)
         self.metadata.drop(instance_id)
 
     def _piggyback(self, recipient: int) -> tuple[list[Claim], list[Info]]:
-        """What rides on a message; first what is claimed of its recipient, so that it can refute it."""
+        """Claims and metadata to piggyback; a claim about the recipient comes first, for it to refute."""
         member_count = len(self._table.records) + 1
         claims = self.claims.pick(MAX_CLAIMS, member_count, recipient)
         record = self._table.records.get(recipient)
@@ -57,7 +57,7 @@
         self._outbox.send(self.address_of(helper), Ask(number, target, claims, metadata))
 
     def send_ack(self, recipient: int, address: Address, ping: Ping) -> None:
-        """Answer a ping; first of all with our own claim if the ping made one about us."""
+        """Answer a ping; our own claim comes first if the ping contained a claim about us."""
         claims, metadata = self._piggyback(recipient)
         own_id = self._local.instance_id
         if any(claim.life == own_id for claim in ping.claims):
@@ -66,10 +66,10 @@
         self._outbox.send(address, Ack(ping.number, own_id, claims, metadata))
 
     def send_identity(self, address: Address, ping: Ping) -> None:
-        """Answer a ping that was meant for an earlier instance: our claim shows that it is over."""
+        """Answer a ping meant for an earlier instance with our own claim, to show that that one has ended."""
         message = Ack(ping.number, self._local.instance_id, [self._local.claim], [self._local.metadata])
         self._outbox.send(address, message)
 
-    def farewell(self, recipient: int) -> Ping:
-        """A ping that carries our own claim and metadata alone."""
+    def leave_message(self, recipient: int) -> Ping:
+        """A ping that carries only our own claim and metadata."""
         return Ping(self.next_number(), recipient, [self._local.claim], [self._local.metadata])
--- a/cairnvane/membership/envelope.py
+++ b/cairnvane/membership/envelope.py
@@ -1,7 +1,8 @@
 """The authenticated envelope of a message between members. No I/O.
 
-A datagram is a header, the body, and a keyed hash over both, under one key for the cluster. The header
-carries the sending instance and a number that only rises in it, so that a replay is noticed.
+An envelope consists of a header, the body, and a keyed hash over both; all members of the cluster share the
+key. The header contains the sending instance and a message number that each instance only increases, so that
+replays are detected.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-try:  # as in `idempotency/fingerprint.py`: what hashlib hands on, without the rest of it
+try:  # as in `idempotency/fingerprint.py`: the same function as hashlib's, without importing hashlib
     from _blake2 import blake2b
 except ImportError:
     from hashlib import blake2b
@@ -18,7 +19,7 @@
 MAGIC = b"CVM"
 VERSION = 1
 HASH_BYTES = 16
-# A datagram may overtake this many others; older ones count as replayed.
+# Datagrams may arrive out of order by fewer than this many numbers; older ones count as replayed.
 REPLAY_WINDOW = 64
 _WINDOW_MASK = (1 << REPLAY_WINDOW) - 1
 _HEADER = struct.Struct("<3sBQQ")  # magic, version, instance, number
@@ -31,15 +32,15 @@
     TORN = "torn"  # shorter than an empty message
     STRANGER = "stranger"  # not sealed under our key
     VERSION = "version"
-    UNREADABLE = "unreadable"  # sealed under our key, but no message
+    UNREADABLE = "unreadable"  # sealed under our key, but the body is not a valid message
 
 
 class MembershipError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class EnvelopeError(MembershipError, ValueError):
-    """Bytes that are not from a member, or can't be read; the text is the name of the counter."""
+    """Data is not from a member or can't be decoded; the error text is the name of the counter."""
 
     def __init__(self, fault: EnvelopeFault) -> None:
         super().__init__(fault.value)
@@ -47,7 +48,7 @@
 
 
 class Envelope(NamedTuple):
-    """An opened envelope."""
+    """The verified contents of an envelope."""
 
     sender: int  # the sending instance
     number: int
@@ -60,13 +61,13 @@
 
 
 def seal_body(key: bytes, sender: int, number: int, body: bytes) -> bytes:
-    """The bytes of an envelope around this body."""
+    """Encode an envelope with this body."""
     data = _HEADER.pack(MAGIC, VERSION, sender, number) + body
     return data + keyed_hash(key, data)
 
 
 def open_envelope(key: bytes, data: bytes, max_bytes: int) -> Envelope:
-    """Check and open an envelope; `EnvelopeError` if it is none of ours."""
+    """Verify and open an envelope; raises `EnvelopeError` if it is not valid under our key."""
     if len(data) > max_bytes:
         raise EnvelopeError(EnvelopeFault.OVERSIZED)
     if len(data) < _HEADER.size + HASH_BYTES:
@@ -82,7 +83,7 @@
 
 
 class ReplayWindow:
-    """Which numbers of one sender have come: the highest, and a bit for each of those just below it."""
+    """Received message numbers of one sender: the highest, and a bitmap of those just below it."""
 
     __slots__ = ("_highest", "_seen_bits")
 
@@ -91,7 +92,7 @@
         self._seen_bits = 0
 
     def accept(self, number: int) -> bool:
-        """Record a number; False if it has come before, or is too old to tell."""
+        """Record a number; False if it was received before or is older than the window."""
         if number > self._highest:
             shift = min(number - self._highest, REPLAY_WINDOW)
             self._seen_bits = ((self._seen_bits << shift) | 1) & _WINDOW_MASK
--- a/cairnvane/membership/evidence.py
+++ b/cairnvane/membership/evidence.py
@@ -1,7 +1,7 @@
-"""Collects the evidence for the verdict on being cut off, over all instances at once. No I/O.
+"""Collects the evidence about all instances for the partition verdict. No I/O.
 
-An instance that has a successor (another instance of the same server is up) is over, and not lost: three
-servers that were all restarted are as much together as before.
+A failed instance that has a successor (another instance of the same server is up) does not count as lost, so
+that a restart of every server does not look like a partition.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExternalSignals:
-    """What is observed outside of the members' channel; None: not observed."""
+    """Signals observed outside the members' channel; None if not observed."""
 
     registry_answers: bool | None = None
     requests_arrive: bool | None = None
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Survey:
-    """The evidence, and bounds on how many instances are up."""
+    """The evidence, and bounds on the number of instances that are up."""
 
     evidence: Evidence
     min_members: int
     max_members: int
-    still_lost: dict[int, int]  # instances that went silent and still are, and since when
+    still_lost: dict[int, int]  # when each instance that is still silent went silent, in microseconds
 
 
 def collect_evidence(
@@ -44,10 +44,10 @@
     health_score: int,
     signals: ExternalSignals,
 ) -> Survey:
-    """Count over the table.
+    """Count the instances in the table.
 
-    `heard_lease`: whoever was heard within it is certainly up. `loss_window`: losses within it count as
-    simultaneous. Both in microseconds.
+    An instance that was heard within `heard_lease` is certainly up. Losses within `loss_window` count as
+    simultaneous. Both are in microseconds.
     """
     failed = _failed_without_successor(own, table)
     silent = {record.claim.life for record in failed}
--- a/cairnvane/membership/failure_detector.py
+++ b/cairnvane/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""Pings members in turn, directly and through helpers, and suspects those that do not answer.
+"""Pings members in turn, directly and through helpers, and suspects members that do not answer.
 
 No I/O, no clock.
 """
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True)
 class _OutstandingPing:
-    """A ping without an answer yet."""
+    """A ping that has not been answered yet."""
 
     number: int
     target: int
-    next_at: int  # it is sent again then, or counts as missed
+    next_at: int  # when it is sent again or counts as missed
     attempts: int = 1
     helpers_asked: int = 0
     nacks: int = 0
@@ -38,7 +38,7 @@
 
 
 class FailureDetector:
-    """Owns the schedule of pings, those without an answer, and those made on behalf of others."""
+    """Owns the ping schedule, the outstanding pings, and the pings on behalf of other members."""
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._next_ping_at = now + int(context.random.random() * context.options.period)
 
     def due_times(self) -> list[int]:
-        """When there is something to do."""
+        """The times at which `tick` has work to do."""
         times = [self._next_ping_at]
         times += [ping.next_at for ping in self._outstanding.values()]
         times += [indirect.nack_at for indirect in self._indirect.values()]
         return times
 
     def restart(self, now: int) -> None:
-        """Drop the pings without an answer after this process stood still, and ping no sooner than usual."""
+        """Drop the outstanding pings after a stall of this process, and delay the next by a full period."""
         self._outstanding.clear()
         self._next_ping_at = now + self._options.period
 
     def tick(self, now: int) -> None:
-        """Retry or give up pings, start the next one, and report indirect pings without an answer."""
-        # Read before pings are given up: a miss in this tick makes only later waits longer.
+        """Retry or give up pings, start the next one, and send nacks for unanswered indirect pings."""
+        # Read before pings are given up, so that a miss in this tick lengthens only later waits.
         multiplier = self._health.multiplier
         self._retry_pings(now)
         self._start_next_ping(now, multiplier)
         self._send_due_nacks(now)
 
     def _retry_pings(self, now: int) -> None:
-        """Ping again whoever has not answered, as often as the loss of datagrams calls for."""
+        """Repeat due pings; give up those with as many attempts as the observed loss calls for."""
         due = [ping for ping in self._outstanding.values() if now >= ping.next_at]
         for ping in due:
             if ping.attempts >= self.loss.attempts_needed():
@@ -99,7 +99,7 @@
         if ping.target in self._table.records:
             self._dissemination.send_ping(ping.target, ping.number)
         is_last = ping.attempts >= self.loss.attempts_needed()
-        # After the last attempt, leave time for the helpers: their answers take longer.
+        # After the last attempt, wait longer, because answers through helpers take longer.
         ping.next_at = now + (options.period - options.ack_timeout if is_last else options.ack_timeout)
 
     def _start_next_ping(self, now: int, multiplier: int) -> None:
@@ -124,29 +124,26 @@
             self._dissemination.send_ping_request(helper, ping.target, ping.number)
 
     def _give_up(self, now: int, ping: _OutstandingPing) -> None:
-        """No answer came, neither directly nor through a helper."""
+        """Suspect the target after no answer came, neither directly nor through a helper."""
         self._counts.missed += 1
-        # Helpers that are silent too are a sign that it is this member that hears badly.
+        # Helpers that do not answer either indicate that this member itself loses messages.
         silent_helpers = max(1, min(2, ping.helpers_asked - ping.nacks))
         self._health.degrade(silent_helpers if ping.helpers_asked > 1 else 1)
         record = self._table.records.get(ping.target)
         if record is None or not record.is_up:
             return
-        reason = (
-            f"no answer to probe {ping.number}, {ping.nacks} of "
-            f"{ping.helpers_asked} helpers said that they heard us"
-        )
+        reason = f"no answer to ping {ping.number}; {ping.nacks} of {ping.helpers_asked} helpers sent a nack"
         self._suspicions.suspect(record, self._local.instance_id, now, reason)
 
     def _send_due_nacks(self, now: int) -> None:
-        """Tell those who asked for an indirect ping that it got no answer."""
+        """Send a nack to each requester of an indirect ping that got no answer in time."""
         for number, indirect in list(self._indirect.items()):
             if now >= indirect.nack_at:
                 del self._indirect[number]
                 self._outbox.send(indirect.requester, Nack(indirect.requester_number, indirect.target))
 
     def on_ack(self, now: int, message: Ack) -> None:
-        """A ping of ours was answered, or one on behalf of another member."""
+        """Handle the answer to a ping of ours, or to one on behalf of another member."""
         indirect = self._indirect.pop(message.number, None)
         if indirect is not None and indirect.target == message.target:
             self._outbox.send(indirect.requester, Ack(indirect.requester_number, indirect.target))
@@ -169,7 +166,7 @@
         self._dissemination.send_ping(message.target, number)
 
     def on_nack(self, message: Nack) -> None:
-        """A helper heard us, but got no answer from the target."""
+        """Count a helper that received our request but got no answer from the target."""
         ping = self._outstanding.get(message.number)
         if ping is not None:
             ping.nacks += 1
--- a/cairnvane/membership/gossip.py
+++ b/cairnvane/membership/gossip.py
@@ -1,9 +1,9 @@
-"""Which claims and metadata are piggybacked on the next datagram: the least sent first. No I/O, no clock.
+"""Selects the claims and metadata to piggyback on the next datagram, the least sent first. No I/O, no clock.
 
-Every claim is sent by each member about `RETRANSMIT_FACTOR` times the logarithm of the cluster's size, after
-which all have received it with high probability; what one missed, the exchange of whole states brings. So no
-claim is gossiped for ever, and a member that restarts in a loop has at most `MAX_QUEUED_CLAIMS` of them
-about.
+Each member sends a claim about `RETRANSMIT_FACTOR` times the logarithm of the cluster's size, after which all
+members have received it with high probability; members that missed it get it by the exchange of whole states.
+The number of transmissions is therefore limited, and the queue holds at most `MAX_QUEUED_CLAIMS` claims, also
+while a member restarts in a loop.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from .claims import Claim, Info
 
 RETRANSMIT_FACTOR = 4
-# Beyond this number, the claim that was sent most often is dropped.
+# When the queue exceeds this number, it drops the claim that was sent most often.
 MAX_QUEUED_CLAIMS = 512
 
 
 def transmit_limit(members: int) -> int:
-    """How often each member sends a claim."""
+    """How many times each member sends a claim."""
     return RETRANSMIT_FACTOR * math.ceil(math.log2(members + 2))
 
 
 class ClaimQueue:
-    """Queued claims, on a level for each time that they were sent: the next few are found at once."""
+    """Queued claims grouped by transmission count, so that the next ones are found without a search."""
 
     def __init__(self) -> None:
-        self._levels: list[dict[int, Claim]] = [{}]  # each by instance, the newest last
+        self._levels: list[dict[int, Claim]] = [{}]  # by transmission count, then by instance; newest last
         self._level_of: dict[int, int] = {}  # by instance
 
     def __len__(self) -> int:
         return len(self._level_of)
 
     def add(self, claim: Claim) -> None:
-        """Queue a claim in the place of the earlier one about that instance."""
+        """Queue a claim, replacing any earlier one about the same instance."""
         self.drop(claim.life)
         self._put(0, claim)
         if len(self._level_of) > MAX_QUEUED_CLAIMS:
@@ -50,19 +50,19 @@
         self._levels[level][claim.life] = claim
         self._level_of[claim.life] = level
 
-    def drop(self, life: int) -> None:
-        """Send nothing more about this instance."""
-        level = self._level_of.pop(life, None)
+    def drop(self, instance_id: int) -> None:
+        """Remove the queued claim about this instance."""
+        level = self._level_of.pop(instance_id, None)
         if level is not None:
-            del self._levels[level][life]
+            del self._levels[level][instance_id]
 
-    def pick(self, most: int, members: int, first: int | None = None) -> list[Claim]:
-        """At most `most` claims for one datagram.
+    def pick(self, max_count: int, members: int, first: int | None = None) -> list[Claim]:
+        """At most `max_count` claims for one datagram.
 
-        The claim about the instance `first` goes before all others: whom a claim is about should be the first
-        to receive it.
+        The claim about the instance `first` precedes all others. The caller passes the recipient, since the
+        instance that a claim is about should receive it first.
         """
-        picked = self._least_sent(most, first)
+        picked = self._least_sent(max_count, first)
         limit = transmit_limit(members)
         for claim in picked:
             next_level = self._level_of[claim.life] + 1
@@ -71,13 +71,13 @@
                 self._put(next_level, claim)
         return picked
 
-    def _least_sent(self, most: int, first: int | None) -> list[Claim]:
+    def _least_sent(self, max_count: int, first: int | None) -> list[Claim]:
         picked = list[Claim]()
         if first is not None and first in self._level_of:
             picked.append(self._levels[self._level_of[first]][first])
         for claims in self._levels:
             for claim in reversed(claims.values()):
-                if len(picked) >= most:
+                if len(picked) >= max_count:
                     break
                 if claim.life != first:
                     picked.append(claim)
@@ -91,28 +91,28 @@
 
 
 class MetadataQueue:
-    """Metadata that is sent in turn: a fixed part of each datagram, however large the cluster is."""
+    """Queued metadata, sent in turn; each datagram carries a fixed number of entries at any cluster size."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, _QueuedMetadata] = {}  # by instance, whoever waits longest first
+        self._waiting: dict[int, _QueuedMetadata] = {}  # by instance, longest waiting first
 
     def __len__(self) -> int:
         return len(self._waiting)
 
     def add(self, info: Info) -> None:
-        """Queue an instance's metadata in the place of its earlier version."""
+        """Queue an instance's metadata, replacing its earlier version."""
         self._waiting.pop(info.life, None)
         self._waiting[info.life] = _QueuedMetadata(info, 0)
 
-    def drop(self, life: int) -> None:
-        """Send nothing more of this instance."""
-        self._waiting.pop(life, None)
+    def drop(self, instance_id: int) -> None:
+        """Remove the queued metadata of this instance."""
+        self._waiting.pop(instance_id, None)
 
-    def pick(self, most: int, members: int) -> list[Info]:
-        """At most `most` entries, the longest waiting first; each goes behind the others once it is sent."""
+    def pick(self, max_count: int, members: int) -> list[Info]:
+        """At most `max_count` entries, the longest waiting first; each moves to the end once it is sent."""
         limit = transmit_limit(members)
         picked = list[Info]()
-        for instance_id in list(self._waiting)[:most]:
+        for instance_id in list(self._waiting)[:max_count]:
             queued = self._waiting.pop(instance_id)
             picked.append(queued.info)
             queued.times_sent += 1
--- a/cairnvane/membership/local_member.py
+++ b/cairnvane/membership/local_member.py
@@ -1,4 +1,4 @@
-"""What a member claims and publishes about itself."""
+"""The claim and metadata that a member publishes about itself."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LocalMember:
-    """This instance's own claim and metadata; only it raises its incarnation."""
+    """This instance's own claim and metadata; no other instance may raise its incarnation."""
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
@@ -16,7 +16,7 @@
 
     @property
     def instance_id(self) -> int:
-        """The number that this process drew at its start."""
+        """The random number that this process drew at its start."""
         return self.claim.life
 
     @property
@@ -26,31 +26,31 @@
 
     @property
     def is_joining(self) -> bool:
-        """Whether this member has not seen any other one yet."""
+        """Whether this member has not found another member yet."""
         return self.metadata.metadata.get("phase") == Phase.JOINING
 
     def merged_metadata(self, values: dict[str, Any]) -> dict[str, Any]:
-        """The published metadata with these values put in; `ValueError` if that is too large."""
+        """The published metadata updated with these values; raises `ValueError` if it exceeds the limits."""
         merged = dict(self.metadata.metadata) | values
         if not metadata_fits(merged):
             raise ValueError(f"metadata of {len(merged)} keys exceeds the limits of a member")
         return merged
 
     def publish(self, values: dict[str, Any]) -> None:
-        """Replace the metadata by a new version."""
+        """Replace the metadata with a new version."""
         version = self.metadata.version + 1
         self.metadata = Info(self.claim.life, self.claim.incarnation, version, values)
 
     def mark_left(self) -> None:
-        """Claim to have left; that is final."""
+        """Set the own status to left, which is final."""
         self.claim = self.claim.with_status(Status.LEFT, self.claim.incarnation, 0)
 
     def needs_refutation(self, claim: Claim) -> bool:
-        """Whether a claim of somebody else about this member is wrong and would override its own."""
+        """Whether another member's claim about this one is wrong and would override its own claim."""
         return not (
             claim.status == Status.ALIVE or claim.incarnation < self.claim.incarnation or self.has_left
         )
 
     def refute(self, claim: Claim) -> None:
-        """Claim to be alive in an incarnation above that of the other claim."""
+        """Set the own status to alive with an incarnation above that of the refuted claim."""
         self.claim = self.claim.with_status(Status.ALIVE, claim.incarnation + 1, 0)
--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of all known instances in the cluster. No I/O, no clock."""
+"""The table of all known instances of the cluster. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """All that is known of one instance. Times in microseconds."""
+    """The state known about one instance. Times are in microseconds."""
 
     claim: Claim
     status_since: int
     info: Info | None = None
-    last_heard_at: int = 0  # directly, by whatever message; 0: never
-    accusers: set[int] = field(default_factory=set)  # instances that suspect it, in this incarnation
-    decides_suspicion: bool = True  # whether this member decides on its suspicion, or waits for those who do
-    final_pings: int = 0  # pings of a suspect before it is declared failed
-    final_ping_at: int = 0  # when the last of them was sent
+    last_heard_at: int = 0  # when any message arrived directly from it; 0: never
+    accusers: set[int] = field(default_factory=set)  # instances that suspect it in this incarnation
+    decides_suspicion: bool = True  # False: this member leaves the decision to others, with a longer timeout
+    final_pings: int = 0  # pings sent to the suspect before it is declared failed
+    final_ping_at: int = 0  # when the latest of them was sent
 
     @property
     def status(self) -> Status:
-        """The status that the claim gives it."""
+        """The status in the claim."""
         return Status(self.claim.status)
 
     @property
     def is_up(self) -> bool:
-        """Whether it is taken for alive: it counts, and is pinged."""
+        """Whether the instance counts as up (alive or suspect) and is pinged."""
         return self.claim.status <= Status.SUSPECT
 
     @property
     def phase(self) -> Phase:
-        """The phase that it publishes; an unknown one of a later version counts as serving."""
+        """The published phase; an unknown phase of a later version counts as serving."""
         if self.info is None:
             return Phase.JOINING
         published = self.info.metadata.get("phase", Phase.SERVING)
@@ -63,24 +63,24 @@
 
 
 class Table:
-    """All known instances but the own one.
+    """All known instances except the own one.
 
-    What is needed for every message (who is up, who is suspected, who has this address) is indexed, so that a
-    message costs the same in a cluster of a thousand.
+    The lookups that every message needs (instances up, instances suspected, instances at an address) are
+    indexed, so that a message costs the same in a cluster of a thousand.
     """
 
     def __init__(self) -> None:
         self.records: dict[int, MemberRecord] = {}
-        self.version = 0  # rises with each claim that counts, and each instance that is removed
+        self.version = 0  # incremented with each claim that takes effect and each instance removed
         self._by_status: dict[int, dict[int, MemberRecord]] = {int(status): {} for status in Status}
         self._up_by_address: dict[tuple[str, int], dict[int, MemberRecord]] = {}
-        # Those taken for alive, by instance.
+        # Alive and suspected instances.
         self.up: ChainMap[int, MemberRecord] = ChainMap(
             self._by_status[Status.ALIVE], self._by_status[Status.SUSPECT]
         )
 
     def merge(self, claim: Claim, now: int) -> MemberRecord | None:
-        """Merge a claim; returns the instance's record if that changed anything."""
+        """Merge a claim; returns the instance's record if the claim took effect, else None."""
         record = self.records.get(claim.life)
         if record is None:
             record = MemberRecord(claim, now)
@@ -99,7 +99,7 @@
         return record
 
     def _enter(self, record: MemberRecord) -> None:
-        """Put a record into the indexes."""
+        """Add a record to the indexes."""
         self.version += 1
         claim = record.claim
         self._by_status[claim.status][claim.life] = record
@@ -107,7 +107,7 @@
             self._up_by_address.setdefault((claim.host, claim.port), {})[claim.life] = record
 
     def _withdraw(self, record: MemberRecord) -> None:
-        """Take a record out of the indexes."""
+        """Remove a record from the indexes."""
         claim = record.claim
         del self._by_status[claim.status][claim.life]
         if not record.is_up:
@@ -117,13 +117,13 @@
         if not self._up_by_address[address]:
             del self._up_by_address[address]
 
-    def drop(self, number: int) -> None:
-        """Remove an instance; `KeyError` if it is not there."""
-        self._withdraw(self.records.pop(number))
+    def drop(self, instance_id: int) -> None:
+        """Remove an instance; `KeyError` if the table does not contain it."""
+        self._withdraw(self.records.pop(instance_id))
         self.version += 1
 
     def update_metadata(self, info: Info) -> bool:
-        """Merge the metadata of an instance; whether it is newer than what was known."""
+        """Merge the metadata of an instance; returns whether it is newer than the known version."""
         record = self.records.get(info.life)
         if record is None or not metadata_fits(info.metadata):
             return False
@@ -133,28 +133,28 @@
         return True
 
     def up_records(self) -> list[MemberRecord]:
-        """Instances that are taken for alive."""
+        """Alive and suspected instances."""
         alive = self._by_status[Status.ALIVE].values()
         suspects = self._by_status[Status.SUSPECT].values()
         return [*alive, *suspects]
 
     def up_at(self, address: tuple[str, int]) -> list[MemberRecord]:
-        """Instances at this address that are taken for alive."""
+        """Alive and suspected instances at this address."""
         return list(self._up_by_address.get(address, {}).values())
 
     def with_status(self, status: Status = Status.FAILED) -> list[MemberRecord]:
-        """Instances of this status."""
+        """Instances with this status."""
         return list(self._by_status[status].values())
 
     def count(self, status: Status) -> int:
-        """How many instances have this status."""
+        """Number of instances with this status."""
         return len(self._by_status[status])
 
     def remove_expired(self, now: int, retention: int, max_per_name: int) -> list[int]:
         """Remove tombstones older than `retention`, and the oldest beyond `max_per_name` of one name.
 
-        Returns the instances. Gossip about one of them that still goes round would make it known again, and
-        it would be declared failed once more.
+        Returns the removed instances. The caller also stops gossip about them, since a claim that still
+        circulates would add the instance again and it would be declared failed once more.
         """
         tombstones = [*self.with_status(Status.FAILED), *self.with_status(Status.LEFT)]
         expired = {record.claim.life for record in tombstones if now - record.status_since > retention}
@@ -169,7 +169,7 @@
         return sorted(expired)
 
     def same_name_elsewhere(self, name: str, place: str) -> list[MemberRecord]:
-        """Instances under this name that belong to another server: balancers reach them elsewhere."""
+        """Instances under this name that belong to another server, which has another place."""
         return [
             record
             for record in self.up_records()
--- a/cairnvane/membership/messages.py
+++ b/cairnvane/membership/messages.py
@@ -9,18 +9,18 @@
 from .claims import Claim, Info
 from .envelope import EnvelopeError, EnvelopeFault, open_envelope, seal_body
 
-# Below what any path carries in one piece; a larger datagram is rejected.
+# Small enough for any path to carry without fragmentation; larger datagrams are rejected.
 MAX_DATAGRAM_BYTES = 1_400
-# How many claims and metadata entries are piggybacked on one datagram.
+# Limits of the claims and metadata entries that are piggybacked on one datagram.
 MAX_CLAIMS = 6
 MAX_METADATA_ENTRIES = 2
-# The whole state goes over TCP, in messages of so many members; a larger one is rejected.
+# The whole state is sent over TCP in messages of this many members; longer messages are rejected.
 MEMBERS_PER_VIEW = 64
 MAX_VIEW_BYTES = 1 << 20
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Asks for an `Ack` by the target; another instance at its address does not answer in its place."""
+    """Asks the target for an `Ack`; another instance at the same address does not answer in its place."""
 
     number: int
     target: int
@@ -29,7 +29,7 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """The target is up: the sender itself, or the target of a ping that the sender was asked for."""
+    """Reports that the target is up: the sender itself, or the target of a requested indirect ping."""
 
     number: int
     target: int
@@ -47,14 +47,14 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """The sender received the request for an indirect ping, but no answer from the target."""
+    """Reports that the sender received the request for an indirect ping, but no answer from the target."""
 
     number: int
     target: int
 
 
 class View(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """A part of the sender's whole state; `answer` asks for the receiver's."""
+    """A part of the sender's whole state; `answer` asks the receiver to send its own state."""
 
     answer: bool
     claims: list[Claim] = []
@@ -65,7 +65,7 @@
 
 
 class OpenedMessage(NamedTuple):
-    """A message out of its envelope."""
+    """A decoded message with its sender and number."""
 
     sender: int  # the sending instance
     number: int
@@ -76,13 +76,13 @@
 _DECODER = msgspec.msgpack.Decoder(Message)
 
 
-def seal(key: bytes, life: int, number: int, message: Message) -> bytes:
-    """Encode a message of this instance under this number, for the wire."""
-    return seal_body(key, life, number, _ENCODER.encode(message))
+def seal(key: bytes, sender: int, number: int, message: Message) -> bytes:
+    """Encode a message for the wire, in an envelope from this instance with this number."""
+    return seal_body(key, sender, number, _ENCODER.encode(message))
 
 
 def unseal(key: bytes, data: bytes, max_bytes: int = MAX_DATAGRAM_BYTES) -> OpenedMessage:
-    """Open an envelope and decode its message; `EnvelopeError` if it is none."""
+    """Open an envelope and decode its message; raises `EnvelopeError` if either is invalid."""
     envelope = open_envelope(key, data, max_bytes)
     try:
         message = _DECODER.decode(envelope.body)
--- a/cairnvane/membership/metrics.py
+++ b/cairnvane/membership/metrics.py
@@ -1,4 +1,4 @@
-"""The membership metrics in Prometheus' text form, by its client library; imported at the first fetch."""
+"""Membership metrics in the Prometheus text format; this module is imported at the first fetch."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class _Collector:
-    """One snapshot as metrics, made for one fetch."""
+    """Converts one snapshot to metrics, for one fetch."""
 
     def __init__(self, snapshot: MembershipSnapshot) -> None:
         self._snapshot = snapshot
 
     def collect(self) -> Iterator[Metric]:
-        """All metrics, in the order of the text form."""
+        """All metrics, in the order of the text format."""
         yield self._instances_by_status()
         yield self._verdict()
         yield from self._plain_gauges()
@@ -63,7 +63,7 @@
 
 
 def text(snapshot: MembershipSnapshot) -> bytes:
-    """The body of one fetch."""
+    """The response body for one fetch."""
     registry = CollectorRegistry()
     registry.register(_Collector(snapshot))
     return generate_latest(registry)
--- a/cairnvane/membership/observer.py
+++ b/cairnvane/membership/observer.py
@@ -1,6 +1,6 @@
-"""Observes the server for its members' channel: arrivals, the event loop, and what is published to others.
+"""Observes the server for its member: request arrivals, the event loop, and the metadata to publish.
 
-A `RequestSink` in front of the server's own; only in place where membership is on.
+`ServerObserver` is a `RequestSink` in front of the server's own sink; used only if membership is enabled.
 """
 
 from __future__ import annotations
@@ -15,59 +15,59 @@
 from .own_health import EventLoopMonitor, RequestArrivals
 
 
-class Served(RequestSink, Protocol):
-    """What is needed of the server's event loop here."""
+class ObservedServer(RequestSink, Protocol):
+    """The interface of the server's event loop that the observer uses."""
 
     reported_load: float | None  # the load signal that is reported to clients
 
     def post(self, task: Callable[[], None]) -> None:
-        """Run this in the event loop's thread."""
+        """Run a task in the event loop's thread."""
 
 
 def _two_digits(value: float) -> float:
-    """Two significant digits: a value that hardly changes is not published anew."""
+    """Round to two significant digits, so that a small change of the value causes no new version."""
     return round(value, 1 - math.floor(math.log10(value))) if value > 0 else 0.0
 
 
 class ServerObserver:
-    """Passes requests on and observes them; safe to use from any thread."""
+    """Forwards requests to the server and records them; safe to use from any thread."""
 
     def __init__(
         self,
-        host: Served,
+        server: ObservedServer,
         version: str,
-        roster: Callable[[], bool],
-        pool: Callable[[], bool],
-        calls: Callable[[], int],
+        registry_answers: Callable[[], bool],
+        worker_pool_bound: Callable[[], bool],
+        calls_in_flight: Callable[[], int],
     ) -> None:
-        """Observe a server in front of which this is put.
+        """Observe a server and forward its requests to it.
 
-        `roster`: whether the service registry answers. `pool`: whether the worker pool is bound. `calls`: how
-        many calls to the downstream dependency are in flight.
+        `registry_answers` returns whether the service registry answers, `worker_pool_bound` whether the
+        worker pool is bound, `calls_in_flight` the number of calls to the downstream dependency in flight.
         """
-        self._server = host
+        self._server = server
         self._version = version
-        self._registry_answers = roster
-        self._worker_pool_bound = pool
-        self._calls_in_flight = calls
+        self._registry_answers = registry_answers
+        self._worker_pool_bound = worker_pool_bound
+        self._calls_in_flight = calls_in_flight
         self._arrivals = RequestArrivals()
         self._event_loop = EventLoopMonitor()
 
     def request_arrived(self, request: Request) -> None:
-        """A whole request was read."""
+        """Record a complete request and forward it."""
         self._arrivals.record(clock.now())
         self._server.request_arrived(request)
 
     def client_disconnected(self, request: Request) -> None:
-        """A client has disconnected before its answer."""
+        """Forward that a client disconnected before its response."""
         self._server.client_disconnected(request)
 
     def health_check_arrived(self, check: HealthCheck) -> None:
-        """A health check was read."""
+        """Forward a health check."""
         self._server.health_check_arrived(check)
 
     def external_signals(self) -> ExternalSignals:
-        """What is observed outside of the members' channel; called in its thread."""
+        """The signals observed outside the members' channel; called in the thread of that channel."""
         now = clock.now()
         if self._event_loop.should_ask(now):
             self._server.post(self._event_loop.answered)
@@ -81,8 +81,8 @@
     def metadata(self) -> dict[str, Any]:
         """The metadata that this server publishes.
 
-        Keys: requests a second (`asked`), the load signal (`free`), calls to the dependency in flight
-        (`calls`), whether the event loop stands still (`held`), and the program's version.
+        Keys: requests per second (`asked`), the load signal (`free`), calls to the dependency in flight
+        (`calls`), whether the event loop is unresponsive (`held`), and the program's version.
         """
         now = clock.now()
         metadata: dict[str, Any] = {
--- a/cairnvane/membership/partition_detector.py
+++ b/cairnvane/membership/partition_detector.py
@@ -1,12 +1,13 @@
-"""Did they fail, or are we cut off? One verdict from all evidence, with a confidence, and slow to recover.
+"""Decides whether other members failed or this one is partitioned off, with a confidence. No I/O, no clock.
 
-A member that stops hearing many at once can't tell from the channel alone. So the verdict also looks at what
-does not go through it: whether the service registry answers, whether balancers still send requests, whether
-the worker pool is bound, and whether this process was held up itself. No I/O, no clock.
+A member that stops hearing many others at once can't tell the two cases apart by the members' channel alone.
+The verdict therefore also uses signals that do not pass through that channel: whether the service registry
+answers, whether balancers still send requests, whether the worker pool is bound, and whether this process was
+stalled. A worse verdict takes effect at once, a recovery only after it has held for a while.
 
-`Assessment` is what a consumer may rely on: `min_members` instances are certainly up, heard directly of late;
-`max_members` may be, counting all that may have been cut off from us or we from them. No two members need
-have the same one.
+Consumers may rely on `Assessment`: `min_members` instances are certainly up, since they were heard directly
+within the lease; up to `max_members` may be up, including all that may be on the other side of a partition.
+Different members may have different assessments.
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 
 
 class Verdict(Enum):
-    """On which side of a partition this member is, if there is one."""
+    """Whether there is a partition, and on which side of it this member is."""
 
     TOGETHER = "together"
-    DOUBTFUL = "doubtful"  # too many are silent at once for a verdict on them
-    APART_FEW = "apart (few)"  # with less than half of those that were up
-    APART_MANY = "apart (many)"  # with half or more
+    DOUBTFUL = "doubtful"  # many silent members are still undecided, or this member's own health is poor
+    APART_FEW = "apart (few)"  # on a side with less than half of the instances that were up
+    APART_MANY = "apart (many)"  # on a side with half or more of them
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What this member has observed of late; None of the optional ones: not observed."""
+    """Recent observations of this member; an optional signal is None if it is not observed."""
 
-    previously_up: int  # instances that were up before the last losses, this one counted
-    heard: int  # of them, those still taken for alive, this one counted
-    silent: int  # of them, those that are suspected or were declared failed of late
-    health_score: int  # of local health
-    suspected: int = 0  # of the silent ones, those that are not decided on
+    previously_up: int  # instances up before the recent losses, including this one
+    heard: int  # of those, the ones still alive, including this one
+    silent: int  # of those, the ones suspected or recently declared failed
+    health_score: int  # of local health; 0 is healthy
+    suspected: int = 0  # of the silent ones, those still undecided
     registry_answers: bool | None = None
     requests_arrive: bool | None = None
     worker_pool_bound: bool | None = None
@@ -41,41 +42,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Assessment:
-    """The contract with whoever uses the member list."""
+    """The view of the cluster that consumers of the member list may rely on."""
 
-    epoch: int  # rises with each change of the verdict or of who is up
+    epoch: int  # rises with each change of the verdict, the bounds, or the set of instances that are up
     verdict: Verdict
     confidence: float  # 0 to 1
-    since: int  # when the verdict was reached, microseconds
-    min_members: int  # instances that are certainly up, this one counted
+    since: int  # when the verdict was reached, in microseconds
+    min_members: int  # instances that are certainly up, including this one
     max_members: int  # instances that may be up
 
 
-# So many instances silent at once, and this share of those that were up, are more than chance.
+# At least this many instances, and this share of those that were up, must be silent at once to suggest a
+# partition rather than independent failures.
 MIN_SILENT = 2
 MIN_SILENT_SHARE = 0.3
-# Beyond this score of local health a member decides on nobody.
+# With a worse score of local health, the verdict on a few silent instances is doubtful.
 MAX_TRUSTED_HEALTH_SCORE = 4
-# A better verdict has to hold for so long before it counts.
+# A recovery takes effect after it has held for this time.
 RECOVERY_HOLD_US = 2_000_000
 UNDECIDED_CONFIDENCE = 0.5
 
 
 class Conclusion(NamedTuple):
-    """A verdict on some evidence."""
+    """A verdict and its confidence."""
 
     verdict: Verdict
     confidence: float  # 0 to 1
 
 
 def assess(evidence: Evidence) -> Conclusion:
-    """The verdict on this evidence alone, and its confidence."""
+    """The verdict and confidence for this evidence alone, without regard to earlier verdicts."""
     if not _many_silent(evidence):
-        # A single silent instance has failed, as far as anyone can tell.
+        # A few silent instances are taken to have failed.
         if evidence.health_score > MAX_TRUSTED_HEALTH_SCORE:
             return Conclusion(Verdict.DOUBTFUL, UNDECIDED_CONFIDENCE)
         return Conclusion(Verdict.TOGETHER, 1.0 - evidence.silent / max(2, evidence.previously_up))
-    if 2 * evidence.suspected > evidence.silent:  # no verdict on them, and so none on us
+    if 2 * evidence.suspected > evidence.silent:  # most silent members are undecided
         return Conclusion(Verdict.DOUBTFUL, UNDECIDED_CONFIDENCE)
     lost_signals = _lost_signal_share(evidence)
     lost_members = 1 - evidence.heard / max(1, evidence.previously_up)
@@ -92,9 +94,9 @@
 
 
 def _lost_signal_share(evidence: Evidence) -> float:
-    """Which share of the signals outside of the channel is lost.
+    """The share of the observed external signals that are lost; one half if none is observed.
 
-    With all of them lost too, it is us; with all of them there, the others may as well have failed.
+    If all are lost, this member is likely cut off; if none is, the other members may have failed instead.
     """
     signals = (evidence.registry_answers, evidence.requests_arrive, evidence.worker_pool_bound)
     observed = [signal for signal in signals if signal is not None]
@@ -104,19 +106,19 @@
 
 
 def max_concurrent(times: list[int], window: int) -> int:
-    """The most of these times that fall within any window of this length."""
+    """The largest number of these times that fall within any window of this length."""
     ordered = sorted(times)
-    most = 0
+    max_count = 0
     first = 0
     for last, time in enumerate(ordered):
         while time - ordered[first] > window:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
 
 
 class PartitionDetector:
-    """The verdict over time: worse at once, better only once that has held."""
+    """Tracks the verdict over time: it worsens at once and recovers after a hold time."""
 
     def __init__(self, now: int) -> None:
         self.assessment = Assessment(1, Verdict.TOGETHER, 1.0, now, 1, 1)
@@ -130,7 +132,7 @@
         max_members: int,
         membership_changed: bool,
     ) -> bool:
-        """Assess anew; returns whether the verdict is another."""
+        """Update the assessment; returns whether the verdict changed."""
         before = self.assessment
         verdict, confidence = assess(evidence)
         if self._must_still_hold(verdict, now):
--- a/cairnvane/membership/partition_monitor.py
+++ b/cairnvane/membership/partition_monitor.py
@@ -1,4 +1,4 @@
-"""Feeds the partition detector: which members went silent, and whether those that are up have changed."""
+"""Feeds the partition detector with the losses of members and changes of the set that is up."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from .evidence import ExternalSignals, collect_evidence
 from .partition_detector import Assessment, Evidence, PartitionDetector
 
-# While nobody comes or goes, the assessment is made no more often than this: it counts over all members.
+# Minimum interval between assessments while the table is unchanged, since each one counts all members.
 ASSESS_INTERVAL_US = 100_000
 
 
 class PartitionMonitor:
-    """Owns the record of losses and the assessment that is made of it."""
+    """Owns the times of losses, and the partition detector that assesses them."""
 
     def __init__(self, context: MemberContext, now: int) -> None:
         self.detector = PartitionDetector(now)
@@ -23,21 +23,21 @@
         self._lost_at: dict[int, int] = {}  # by instance: when it went silent
         self._up: frozenset[int] = frozenset()  # as of the last assessment
         self._assessed_version = -1  # of the table
-        self._assess_at = now
+        self._next_assess_at = now
 
     def record_loss(self, instance_id: int, now: int) -> None:
-        """An instance is suspected or has failed."""
+        """Record when an instance was suspected or failed, unless it is recorded already."""
         self._lost_at.setdefault(instance_id, now)
 
     def clear_loss(self, instance_id: int) -> None:
-        """An instance is alive, has left, or is no longer remembered."""
+        """Forget the loss of an instance that is alive, has left, or was removed from the table."""
         self._lost_at.pop(instance_id, None)
 
     def tick(self, now: int, signals: ExternalSignals) -> None:
-        """Assess anew if the table has changed or some time has passed; report another verdict."""
-        if self._table.version == self._assessed_version and now < self._assess_at:
+        """Reassess if the table has changed or the interval has passed; report a changed verdict."""
+        if self._table.version == self._assessed_version and now < self._next_assess_at:
             return
-        self._assess_at = now + ASSESS_INTERVAL_US
+        self._next_assess_at = now + ASSESS_INTERVAL_US
         membership_changed = self._membership_changed()
         survey = collect_evidence(
             self._local.claim,
@@ -58,7 +58,7 @@
             self._report(before, survey.evidence)
 
     def _membership_changed(self) -> bool:
-        """Whether other instances are up than at the last assessment."""
+        """Whether the set of instances that are up has changed since the last assessment."""
         if self._table.version == self._assessed_version:
             return False
         self._assessed_version = self._table.version
@@ -67,7 +67,7 @@
         return self._up != up_before
 
     def _heard_lease(self) -> int:
-        """Long enough that everybody is heard once within it, whatever the number of members."""
+        """The lease, extended in large clusters so that every member is heard once within it."""
         return max(self._options.heard_lease, self._options.period * (len(self._table.records) + 1))
 
     def _report(self, before: Assessment, evidence: Evidence) -> None:
--- a/cairnvane/membership/snapshot.py
+++ b/cairnvane/membership/snapshot.py
@@ -26,25 +26,25 @@
     status: str
     phase: str
     incarnation: int
-    heard_ms: int | None  # ago; None: never
-    told: dict[str, Any]  # its metadata
+    heard_ms: int | None  # time since it was last heard; None: never
+    told: dict[str, Any]  # its published metadata
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSnapshot:
-    """All that a consumer may read; never changed once it is made."""
+    """The state of one member for its consumers; never modified after creation."""
 
     own: MemberView
     members: tuple[MemberView, ...]
     assessment: Assessment
     taken_at: int  # microseconds of the monotonic clock
     health_score: int
-    ping_loss: float  # of pings of members that are up
+    ping_loss: float  # share of lost pings to members that are up
     counts: dict[str, int]
 
 
 def take_snapshot(member: SwimMember, transport_counts: Mapping[str, int], now: int) -> MembershipSnapshot:
-    """Copy the state of a member; in the thread that drives it."""
+    """Copy the state of a member; must be called in the thread that drives it."""
     own_metadata = member.metadata.metadata
     own_phase = Phase(own_metadata.get("phase", 0))
     records = sorted(member.table.records.values(), key=lambda record: (record.claim.name, record.claim.life))
--- a/cairnvane/membership/sockets.py
+++ b/cairnvane/membership/sockets.py
@@ -12,25 +12,25 @@
 
 
 class MemberSockets(NamedTuple):
-    """One port for both kinds of traffic."""
+    """The TCP and UDP sockets of a member, both on the same port."""
 
-    listener: socket.socket  # TCP: whole states
-    udp: socket.socket  # datagrams
+    listener: socket.socket  # TCP, for whole states
+    udp: socket.socket  # for datagrams
 
     @property
     def address(self) -> Address:
-        """Where both are reached."""
+        """The address of both sockets."""
         host, port = self.listener.getsockname()
         return host, port
 
     def close(self) -> None:
-        """Close both."""
+        """Close both sockets."""
         self.listener.close()
         self.udp.close()
 
 
 def open_sockets(address: Address, spare_ports: int) -> MemberSockets:
-    """Bind the first port that is free for both; `OSError` if none of the spare ports above it is either."""
+    """Bind the first of this port and the spare ports above it that is free; `OSError` if none is."""
     host, first_port = address
     last_port = first_port + spare_ports
     for port in range(first_port, last_port):
--- a/cairnvane/membership/state_connections.py
+++ b/cairnvane/membership/state_connections.py
@@ -1,6 +1,6 @@
-"""TCP connections on which members exchange whole states: one way, and then the other.
+"""TCP connections on which members exchange whole states, first from the initiator and then from the peer.
 
-Driven by the selector loop of the transport; all in its thread.
+The selector loop of the transport drives them, in its thread.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .actions import Address
 from .messages import MAX_VIEW_BYTES, Message, View
 
-# How many may be open at a time, and how long one may take.
+# Limits of the connections open at a time and of the duration of one.
 MAX_CONNECTIONS = 8
 TIMEOUT_US = 2_000_000
 RECEIVE_BYTES = 65_536
@@ -23,12 +23,12 @@
 
 
 def frame(messages: list[bytes]) -> bytes:
-    """Sealed messages, each after its length."""
+    """Concatenate sealed messages, each prefixed with its length."""
     return b"".join(LENGTH_PREFIX.pack(len(message)) + message for message in messages)
 
 
 def unframe(data: bytes | bytearray) -> list[bytes]:
-    """The sealed messages in these bytes; one that was cut off comes as far as it goes."""
+    """Split framed data into sealed messages; a truncated last message is returned truncated."""
     messages = []
     start = 0
     while start + LENGTH_PREFIX.size <= len(data):
@@ -39,7 +39,7 @@
 
 
 class StateConnection:
-    """One connection, and what is still to be sent on it."""
+    """One connection, with its unsent and received data."""
 
     def __init__(self, sock: socket.socket, peer: Address, unsent: bytes, is_initiator: bool) -> None:
         self.sock = sock
@@ -51,7 +51,7 @@
 
 
 class StateConnections:
-    """Owns the open connections, their bounds and their progress."""
+    """Owns the open connections, limits them, and drives their progress."""
 
     def __init__(
         self,
@@ -59,25 +59,26 @@
         counts: Counter[str],
         routes: Mapping[Address, Address],
         make_state: Callable[[bool], bytes],
-        take: Callable[[bytes, Address, int], Message | None],
+        handle_sealed: Callable[[bytes, Address, int], Message | None],
     ) -> None:
         """Register connections with this selector.
 
-        `make_state` gives the framed state, with or without a request for the peer's; `take` handles a sealed
-        message from a peer of at most so many bytes. `routes`: by which address an address is reached.
+        `make_state` returns the framed state, with or without a request for the peer's. `handle_sealed`
+        handles a sealed message from a peer, up to a maximum size in bytes. `routes` maps an address to the
+        one by which it is reached from here.
         """
         self._selector = selector
         self._counts = counts
         self._routes = routes
         self._make_state = make_state
-        self._take = take
+        self._handle_sealed = handle_sealed
         self._open: set[StateConnection] = set()
 
     def __bool__(self) -> bool:
         return bool(self._open)
 
     def connect(self, address: Address) -> None:
-        """Begin an exchange; beyond the bound nothing happens."""
+        """Start an exchange, unless the limit of open connections is reached."""
         if len(self._open) >= MAX_CONNECTIONS:
             return
         sock = socket.socket()
@@ -94,7 +95,7 @@
         self._add(connection, selectors.EVENT_WRITE)
 
     def accept(self, listener: socket.socket) -> None:
-        """Take an exchange that a peer begins; beyond the bound it is closed."""
+        """Accept an exchange that a peer starts; close it if the limit of open connections is reached."""
         try:
             sock, peer = listener.accept()
         except OSError:
@@ -110,7 +111,7 @@
         self._selector.register(connection.sock, events, connection)
 
     def _close(self, connection: StateConnection, fault: str = "") -> None:
-        """Close a connection; a fault is counted under its name."""
+        """Close a connection; `fault` is the counter to increment, if any."""
         if connection not in self._open:
             return
         self._open.discard(connection)
@@ -120,18 +121,18 @@
             self._counts[fault] += 1
 
     def close_overdue(self, now: int) -> None:
-        """Close those that took too long."""
+        """Close connections past their deadline."""
         overdue = [connection for connection in self._open if connection.deadline < now]
         for connection in overdue:
             self._close(connection, "slow view")
 
     def close_all(self) -> None:
-        """Close all of them."""
+        """Close all connections."""
         for connection in list(self._open):
             self._close(connection)
 
     def on_ready(self, connection: StateConnection) -> None:
-        """Send what is left; then receive to the end, take it, and answer if that was asked for."""
+        """Send unsent data, or receive; handle the data at its end, and answer if the peer asked for it."""
         try:
             if connection.unsent:
                 self._send(connection)
@@ -163,7 +164,7 @@
     def _finish_receiving(self, connection: StateConnection) -> None:
         answer_wanted = False
         for sealed in unframe(connection.received):
-            message = self._take(sealed, connection.peer, MAX_VIEW_BYTES)
+            message = self._handle_sealed(sealed, connection.peer, MAX_VIEW_BYTES)
             answer_wanted |= isinstance(message, View) and message.answer
         if connection.is_initiator or not answer_wanted:
             self._close(connection)
--- a/cairnvane/membership/state_exchange.py
+++ b/cairnvane/membership/state_exchange.py
@@ -1,6 +1,6 @@
-"""Joins the cluster, exchanges whole states now and then, and looks for members that were declared failed.
+"""Joins the cluster, periodically exchanges whole states, and pings members that were declared failed.
 
-Both sides of a healed partition find each other again by the latter. No I/O, no clock.
+The pings of failed members reconnect the two sides of a partition after it heals. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from .dissemination import Dissemination
 from .messages import MEMBERS_PER_VIEW, View
 
-# Beyond this number of members, whole states are exchanged less often: the bytes a second stay the same.
+# Beyond this number of members, whole states are exchanged less often, to keep the bytes per second constant.
 FULL_RATE_MEMBERS = 24
-# How many contacts a member that knows nobody asks at a time.
+# Number of contacts that a member without known members asks at a time.
 MAX_JOIN_CONTACTS = 8
-# The time between two exchanges is drawn between these multiples of the configured one.
+# The time between two exchanges is drawn between these multiples of the configured interval.
 MIN_JITTER, MAX_JITTER = 0.5, 1.5
 
 
 class StateExchange:
-    """Owns the contacts and the times of joins, exchanges and pings of failed members."""
+    """Owns the contacts and the schedule of joins, exchanges and pings of failed members."""
 
     def __init__(
         self,
@@ -47,18 +47,18 @@
         self._revisit_at = now + context.options.revisit_interval
 
     def due_times(self) -> list[int]:
-        """When there is something to do."""
+        """The times at which there is work to do."""
         times = [self._exchange_at, self._revisit_at]
         if not self._table.up:
             times.append(self._join_at)
         return times
 
-    def hasten(self, at: int) -> None:
+    def exchange_by(self, latest_at: int) -> None:
         """Exchange states by this time at the latest."""
-        self._exchange_at = min(self._exchange_at, at)
+        self._exchange_at = min(self._exchange_at, latest_at)
 
     def join_if_due(self, now: int) -> None:
-        """While nobody is known, ask some contacts, each time at the next of the ports they may have."""
+        """While no member is up, ask some contacts, with the next of their possible ports at each attempt."""
         if self._table.up or now < self._join_at:
             return
         self._join_at = now + self._options.revisit_interval
@@ -69,7 +69,7 @@
             self._outbox.exchange((host, port + port_offset))
 
     def exchange_if_due(self, now: int) -> None:
-        """Exchange whole states with a random member."""
+        """Exchange whole states with a random member once the interval has passed."""
         if now < self._exchange_at:
             return
         size_factor = max(1.0, len(self._table.records) / FULL_RATE_MEMBERS)
@@ -82,14 +82,14 @@
             self._outbox.exchange(self._dissemination.address_of(peer))
 
     def revisit_is_due(self, now: int) -> bool:
-        """Whether it is time to look for a failed member; if so, the next time is set."""
+        """Whether it is time to contact a failed member; if so, schedule the next time."""
         if now < self._revisit_at:
             return False
         self._revisit_at = now + self._options.revisit_interval
         return True
 
     def revisit(self) -> None:
-        """Ping a failed member, and now and then contact an address where nobody is known any more."""
+        """Ping a random failed member, and occasionally contact an address where no member is up."""
         self._ping_failed_member()
         self._contact_missing_address()
 
@@ -105,18 +105,18 @@
 
     def _contact_missing_address(self) -> None:
         missing = [contact for contact in self._contacts if not self._is_known(contact)]
-        # All members together make about one such attempt at a time.
+        # The probability limits the cluster to about one such attempt per interval.
         if missing and self._random.random() < 1 / max(1, len(self._table.up)):
             host, port = self._random.choice(missing)
             self._outbox.exchange((host, port + self._random.randint(0, self._spare_ports)))
 
     def _is_known(self, contact: Address) -> bool:
-        """Whether a member is up at one of the ports of this contact."""
+        """Whether a member is up at one of the possible ports of this contact."""
         host, port = contact
         return any(self._table.up_at((host, port + offset)) for offset in range(self._spare_ports + 1))
 
     def views(self, answer: bool) -> list[View]:
-        """The whole state in messages; `answer`: the peer is to send its own."""
+        """The whole state, split into messages; `answer` asks the peer to send its own."""
         claims = [self._local.claim, *(record.claim for record in self._table.records.values())]
         metadata_of = {record.claim.life: record.info for record in self._table.records.values()}
         metadata_of[self._local.instance_id] = self._local.metadata
--- a/cairnvane/membership/suspicion.py
+++ b/cairnvane/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspects members, confirms suspicions, and declares suspects failed that stay silent. No I/O, no clock."""
+"""Suspects members, confirms suspicions, and declares silent suspects failed. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Suspicions:
-    """Owns the decisions on suspects; the state of each suspicion stands in the suspect's record."""
+    """Decides on suspects; the state of each suspicion is in the suspect's record."""
 
     def __init__(
         self,
@@ -36,36 +36,36 @@
         self._random = context.random
         self._held_up_until = now
 
-    def suspect(self, record: MemberRecord, by: int, now: int, reason: str) -> None:
-        """Raise a suspicion, or confirm the one that stands."""
+    def suspect(self, record: MemberRecord, accuser: int, now: int, reason: str) -> None:
+        """Raise a suspicion, or confirm the existing one."""
         if record.status is Status.SUSPECT:
-            self.confirm(record, by)
+            self.confirm(record, accuser)
             return
-        claim = record.claim.with_status(Status.SUSPECT, record.claim.incarnation, by)
+        claim = record.claim.with_status(Status.SUSPECT, record.claim.incarnation, accuser)
         self._table.merge(claim, now)
-        self.begin(record, by, now)
+        self.begin(record, accuser, now)
         self._counts.suspected += 1
         self._dissemination.claims.add(claim)
-        self._outbox.report("member.suspected", claim, by=by, why=reason)
+        self._outbox.report("member.suspected", claim, by=accuser, why=reason)
 
     def confirm(self, record: MemberRecord, accuser: int) -> None:
-        """A further member suspects the suspect: its timeout is shorter, and others are told."""
+        """Add an accuser, which shortens the timeout, and gossip its claim."""
         if not accuser or accuser in record.accusers:
             return
         record.accusers.add(accuser)
         claim = record.claim.with_status(Status.SUSPECT, record.claim.incarnation, accuser)
         self._dissemination.claims.add(claim)
 
-    def begin(self, record: MemberRecord, by: int, now: int) -> None:
+    def begin(self, record: MemberRecord, accuser: int, now: int) -> None:
         """Start the timeout of a suspicion that this or another member raised."""
-        record.accusers = {by}
+        record.accusers = {accuser}
         record.final_pings = 0
         deciders_share = EXPECTED_DECIDERS / (len(self._table.records) + 1)
         record.decides_suspicion = self._random.random() < deciders_share
         self._partition.record_loss(record.claim.life, now)
 
     def declare_failed(self, record: MemberRecord, now: int) -> None:
-        """Claim that a member has failed."""
+        """Declare a member failed and report it with the evidence."""
         claim = record.claim.with_status(Status.FAILED, record.claim.incarnation, self._local.instance_id)
         evidence = {
             "accusers": len(record.accusers),
@@ -78,11 +78,11 @@
         self._outbox.report("member.failed", claim, by=self._local.instance_id, **evidence)
 
     def delay_verdicts(self, now: int) -> None:
-        """This process stood still: no timeout runs from before this time."""
+        """Restart all timeouts at this time after this process was stalled."""
         self._held_up_until = now
 
     def due_times(self, final_pings_needed: int) -> list[int]:
-        """When there is something to do for each suspect."""
+        """The time at which each suspect needs the next step."""
         suspects = self._table.with_status(Status.SUSPECT)
         members = len(self._table.up) + 1
         return [self._due_at(record, members, len(suspects), final_pings_needed) for record in suspects]
@@ -114,7 +114,7 @@
             self._dissemination.send_ping(record.claim.life, self._dissemination.next_number())
 
     def _extend(self, record: MemberRecord, now: int) -> None:
-        """The suspect was heard, so it is up whoever denies it: start over, and leave it to it to refute."""
+        """Restart the timeout of a suspect that was heard, so is up; the suspect refutes the claim itself."""
         record.status_since = now
         record.final_pings = 0
         record.accusers.clear()
@@ -126,7 +126,7 @@
         suspects: int,
         final_pings_needed: int,
     ) -> int:
-        """When a suspect gets its next final ping, or is declared failed."""
+        """When a suspect gets its next final ping or is declared failed."""
         ack_timeout = self._options.ack_timeout
         pings_left = max(0, final_pings_needed - record.final_pings)
         due_at = self._fails_at(record, members, suspects) - pings_left * ack_timeout
@@ -135,7 +135,7 @@
         return due_at
 
     def _fails_at(self, record: MemberRecord, members: int, suspects: int) -> int:
-        """When the timeout of a suspicion ends, counted from no earlier than this member could hear."""
+        """When the timeout of a suspicion ends; it starts no earlier than the end of the latest stall."""
         timeout = suspicion_timeout_us(self._options.suspicion, len(record.accusers), members, suspects)
         timeout *= self._health.multiplier * (1 if record.decides_suspicion else NON_DECIDER_FACTOR)
         timeout = min(timeout, MAX_TIMEOUT_FACTOR * self._options.suspicion)
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -1,12 +1,12 @@
-"""One member of the cluster: what it does with each message and at each time. No I/O, no clock.
+"""One member of the cluster: handles messages and timers, and returns actions. No I/O, no clock.
 
-SWIM's pings and gossip, suspicion before a member is declared failed with Lifeguard's local health, exchanges
-of whole states now and then, and pings of failed members, so that the two sides of a partition find each
-other again once it heals. The driver calls `handle` with messages as they come, and `tick` no later than
-`next_at` says; all chance comes from the random source that is handed in.
+The protocol combines the pings and gossip of SWIM, suspicion with the local health of Lifeguard before a
+member is declared failed, periodic exchanges of whole states, and pings of failed members, so that the two
+sides of a partition reconnect after it heals. The driver calls `handle` for each received message, and `tick`
+no later than `next_at`; all randomness comes from the random source passed in.
 
-`SwimMember` fixes the order of steps. The parts own their state: `failure_detector`, `suspicion`,
-`claim_merger`, `dissemination`, `partition_monitor`, `state_exchange`.
+`SwimMember` determines the order of the steps. The components own their state: `failure_detector`,
+`suspicion`, `claim_merger`, `dissemination`, `partition_monitor`, `state_exchange`.
 """
 
 from __future__ import annotations
@@ -36,14 +36,14 @@
 
 __all__ = ["Action", "Address", "Counts", "Exchange", "Options", "Send", "SwimMember", "ReportEvent"]
 
-# A member that leaves says so to this many times the helpers of an indirect ping.
-FAREWELLS_PER_HELPER = 3
-# By how much a member trusts itself less after it was held up.
+# A member that leaves notifies this many times the number of helpers of an indirect ping.
+LEAVE_MESSAGES_PER_HELPER = 3
+# Points added to the local health score after this process was stalled.
 HELD_UP_PENALTY = 2
 
 
 class SwimMember:
-    """Coordinates the parts of one member; see the module."""
+    """Coordinates the components of one member; see the module documentation."""
 
     def __init__(
         self,
@@ -82,21 +82,21 @@
         self._event_loop_responsive = True
         self._dissemination.metadata.add(self.metadata)
 
-    # --- for its consumers
+    # --- state for consumers, and changes to it
 
     @property
     def own(self) -> Claim:
-        """What this member claims of itself."""
+        """This member's claim about itself."""
         return self._local.claim
 
     @property
     def metadata(self) -> Info:
-        """What this member publishes about itself."""
+        """The metadata that this member publishes."""
         return self._local.metadata
 
     @property
     def partition_detector(self) -> PartitionDetector:
-        """What assesses whether this member is cut off."""
+        """Assesses whether this member is partitioned off."""
         return self._partition.detector
 
     @property
@@ -106,38 +106,38 @@
 
     @property
     def assessment(self) -> Assessment:
-        """What consumers may rely on."""
+        """The current assessment of the cluster, which consumers may rely on."""
         return self._partition.detector.assessment
 
     def up_members(self) -> list[MemberRecord]:
-        """Members taken for alive, this one not among them."""
+        """Records of alive and suspected members, without this one."""
         return self.table.up_records()
 
     def publish_metadata(self, values_to_add: dict[str, Any]) -> None:
-        """Publish these values from now on, beside those published before; `ValueError` if too large."""
+        """Add or replace published metadata values; raises `ValueError` if they exceed the limits."""
         values = self._local.merged_metadata(values_to_add)
         if values != self.metadata.metadata:
             self._publish(values)
 
     def publish_phase(self, phase: Phase) -> None:
-        """Publish that this member is joining, serving, draining or leaving."""
+        """Publish the lifecycle phase of this member."""
         self.publish_metadata({"phase": int(phase)})
 
     def leave(self, now: int) -> list[Action]:
-        """Announce to some members at once that this one leaves, so that nobody suspects it."""
+        """Notify some members at once that this one leaves, so that no member suspects it."""
         self.publish_phase(Phase.LEAVING)
         self._local.mark_left()
         self._claim_queue.add(self.own)
-        recipient_count = FAREWELLS_PER_HELPER * self.options.helpers
+        recipient_count = LEAVE_MESSAGES_PER_HELPER * self.options.helpers
         recipients = self._detector.schedule.pick_helpers(self.table.up, 0, recipient_count)
         dissemination = self._dissemination
         return [
-            Send(dissemination.address_of(recipient), dissemination.farewell(recipient))
+            Send(dissemination.address_of(recipient), dissemination.leave_message(recipient))
             for recipient in recipients
         ]
 
     def next_at(self) -> int:
-        """When `tick` is wanted at the latest."""
+        """The latest time for the next call of `tick`."""
         if self._local.has_left:
             return self._last_tick_at + self.options.exchange_interval
         times = self._detector.due_times()
@@ -145,15 +145,15 @@
         times += self._suspicions.due_times(self._final_pings_needed())
         return max(min(times), self._last_tick_at + 1)
 
-    # --- what happens
+    # --- input from the driver
 
     def tick(self, now: int) -> list[Action]:
-        """Do whatever is due. A member that has left does nothing more."""
+        """Do all work that is due. A member that has left does nothing."""
         actions = self._outbox.begin_step()
         if self._local.has_left:
             self._last_tick_at = now
             return actions
-        delay = now - self.next_at()  # behind what was due, whatever was heard meanwhile
+        delay = now - self.next_at()  # behind the due time, regardless of messages received since
         self._last_tick_at = now
         if delay > self.options.max_tick_delay:
             self._resume_after_delay(now, delay)
@@ -164,31 +164,31 @@
         self._partition.tick(now, self.external_signals)
         return actions
 
-    def handle(self, now: int, life: int, number: int, source: Address, message: Message) -> list[Action]:
-        """Take a message that was opened, from this instance under this number.
+    def handle(self, now: int, sender: int, number: int, source: Address, message: Message) -> list[Action]:
+        """Handle an opened message from the instance `sender`, with its message number.
 
-        A `View` that asks for an answer gets it from the driver, out of `state_messages`.
+        If a `View` asks for an answer, the driver sends it, with the result of `state_messages`.
         """
         actions = self._outbox.begin_step()
-        if life == self.own.life or self._local.has_left:
+        if sender == self.own.life or self._local.has_left:
             return []
-        if not isinstance(message, View) and not self._accepts(life, number):
+        if not isinstance(message, View) and not self._accepts(sender, number):
             return []
-        self._mark_heard(life, now)
+        self._mark_heard(sender, now)
         if not isinstance(message, Nack):
-            self._learn(now, message.claims, message.infos)
-        self._dispatch(now, life, source, message)
-        record = self._mark_heard(life, now)
+            self._merge_piggybacked(now, message.claims, message.infos)
+        self._dispatch(now, sender, source, message)
+        record = self._mark_heard(sender, now)
         if record is not None:
             self._merger.replace_predecessors(record, source, now)
         return actions
 
     def state_messages(self, answer: bool) -> list[View]:
-        """The whole state in messages; `answer`: the peer is to send its own."""
+        """The whole state, split into messages; `answer` asks the peer to send its own."""
         return self._state_exchange.views(answer)
 
     def drop_unknown_replay_windows(self) -> None:
-        """Drop the replay windows of senders that are not in the table: only those can be replayed."""
+        """Drop the replay windows of unknown senders; after that, only their datagrams can be replayed."""
         unknown = [
             instance_id for instance_id in self._replay_windows if instance_id not in self.table.records
         ]
@@ -198,7 +198,7 @@
     # --- messages
 
     def _accepts(self, sender: int, number: int) -> bool:
-        """Whether a datagram is neither a replay nor from an instance that has left."""
+        """Whether to handle a datagram: it is not a replay, and its sender has not left."""
         window = self._replay_windows.setdefault(sender, ReplayWindow())
         if not window.accept(number):
             self.counts.replayed += 1
@@ -228,8 +228,8 @@
             return
         self._dissemination.send_ack(sender, source, message)
 
-    def _learn(self, now: int, claims: list[Claim], metadata: list[Info]) -> None:
-        """Merge what rides on a message."""
+    def _merge_piggybacked(self, now: int, claims: list[Claim], metadata: list[Info]) -> None:
+        """Merge the claims and metadata of a message."""
         for claim in claims:
             if claim.life == self.own.life:
                 self._refute_claim(claim)
@@ -257,23 +257,23 @@
         self._local.publish(values)
         self._dissemination.metadata.add(self.metadata)
 
-    # --- time
+    # --- timers
 
     def _final_pings_needed(self) -> int:
-        """How many pings a suspect gets before it is declared failed."""
+        """Number of pings to a suspect before it is declared failed."""
         return required_final_pings(self.health.score, self.ping_loss.attempts_needed())
 
     def _resume_after_delay(self, now: int, delay: int) -> None:
-        """This process stood still: what is due by the clock is not due by what it could have heard."""
+        """Restart pings and suspicion timeouts, since a stalled process could not receive answers."""
         self.counts.held_up += 1
         self.health.degrade(HELD_UP_PENALTY)
         self._suspicions.delay_verdicts(now)
         self._detector.restart(now)
-        self._state_exchange.hasten(now + self.options.ack_timeout)
+        self._state_exchange.exchange_by(now + self.options.ack_timeout)
         self._outbox.report("member.held_up", self.own, late_us=delay)
 
     def _check_event_loop(self) -> None:
-        """An event loop that stands still serves nobody, though this member still answers for it."""
+        """Degrade local health while the event loop is unresponsive; this thread still answers pings."""
         responsive = self.external_signals.event_loop_responsive is not False
         if not responsive:
             self.health.degrade()
@@ -282,7 +282,7 @@
             self._outbox.report("member.host_works" if responsive else "member.host_held_up", self.own)
 
     def _maintain_membership(self, now: int) -> None:
-        """Join, exchange states, look for failed members, and forget those that are long gone."""
+        """Join, exchange states, contact failed members, and remove expired tombstones."""
         self._state_exchange.join_if_due(now)
         if self.table.up and self._local.is_joining:
             self.publish_phase(Phase.SERVING)
@@ -293,7 +293,7 @@
             self.drop_unknown_replay_windows()
 
     def _revisit(self, now: int) -> None:
-        """Look for a member that was declared failed, or for one that nobody knows any more."""
+        """Contact members that were declared failed, or configured contacts where no member is up."""
         self._state_exchange.revisit()
 
     def _remove_expired(self, now: int) -> None:
--- a/cairnvane/membership/traffic_limits.py
+++ b/cairnvane/membership/traffic_limits.py
@@ -1,17 +1,18 @@
-"""Bounds on the members' traffic, counted anew with each second."""
+"""Limits of the members' traffic per second."""
 
 from __future__ import annotations
 
 from .. import clock
 
-# A member of twelve sends 2 KB in 20 datagrams a second, with a third of them lost 4 KB in 30.
+# In a cluster of twelve, a member sends 2 KB in 20 datagrams per second; with a third of the datagrams lost,
+# 4 KB in 30.
 MAX_SENT_BYTES_PER_SECOND = 64 << 10
 MAX_RECEIVED_PER_SECOND = 1_000
 US_PER_SECOND = 1_000_000
 
 
 class TrafficLimits:
-    """Counts what this second has sent and received."""
+    """Counts the traffic of the current second."""
 
     def __init__(self) -> None:
         self._second = 0
@@ -19,13 +20,13 @@
         self._sent_bytes = 0
 
     def allow_sending(self, size: int) -> bool:
-        """Count bytes that are to be sent; whether they stay within the bound."""
+        """Count bytes to send; returns whether they are within the limit."""
         self._start_second()
         self._sent_bytes += size
         return self._sent_bytes <= MAX_SENT_BYTES_PER_SECOND
 
     def allow_receiving(self) -> bool:
-        """Count a datagram that was received; whether it stays within the bound."""
+        """Count a received datagram; returns whether it is within the limit."""
         self._start_second()
         self._received += 1
         return self._received <= MAX_RECEIVED_PER_SECOND
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -1,7 +1,7 @@
-"""The members' channel: datagrams, whole states over TCP, and the one thread that drives the member.
+"""The members' channel: datagrams, whole states over TCP, and the thread that drives the member.
 
-The server never waits for it: what it wants done goes into a queue, and what it reads is a snapshot that is
-replaced whole. What a stranger sends costs a count, and beyond the bounds not even a check of its hash.
+The server never waits for this thread: it queues commands, and reads a snapshot that is replaced as a whole.
+Unauthenticated data is only counted, and beyond the traffic limit its hash is not even checked.
 """
 
 from __future__ import annotations
@@ -30,26 +30,28 @@
 
 __all__ = ["MemberTransport", "snapshot_as_json"]
 
-# So many datagrams are read before timers are looked at again.
+# Maximum number of datagrams to read before timers are checked again.
 READ_BATCH = 64
-# After an error of its own the thread goes on, but never in a busy loop.
-AFTER_ERROR_S = 0.1
-# The longest wait while a state connection is open, so that its timeout is noticed.
+# Pause after an unexpected error, so that an error that repeats causes no busy loop.
+ERROR_PAUSE_S = 0.1
+# Longest wait while a state connection is open, so that its timeout is detected.
 MAX_WAIT_WITH_CONNECTIONS_S = 0.1
-# The snapshot is made anew no more often than this, and with many members less often.
+# Minimum interval between two snapshots; the interval also grows with the number of members.
 SNAPSHOT_INTERVAL_US = 200_000
 SNAPSHOT_INTERVAL_PER_MEMBER_US = 1_000
-# How often the published metadata of this server is looked at.
+# Interval at which the metadata of this server is read and published.
 METADATA_INTERVAL_US = 1_000_000
 US_PER_SECOND = 1e6
 
 
 class _WakeUp:
-    """Wakes the selector loop from other threads, by a pipe."""
+    """Wakes the selector loop from other threads through a pipe."""
 
     def __init__(self) -> None:
         self.read_end, self._write_end = os.pipe()
-        self._lock = threading.Lock()  # guards the descriptors: a closed one may be another file's by now
+        self._lock = (
+            threading.Lock()
+        )  # guards the descriptors, since a closed one may be reused for another file
         self._is_closed = False
 
     def wake(self) -> None:
@@ -87,7 +89,7 @@
         routes: Mapping[Address, Address] | None = None,
         spare_ports: int = 0,
     ) -> None:
-        """Bind the sockets; `OSError` if that fails. The same port takes datagrams and state connections.
+        """Bind the sockets, UDP and TCP on the same port; raises `OSError` if that fails.
 
         `spare_ports`: number of ports above it to try if it is in use, for example by an earlier instance
         that a new version takes over from. `external_signals` returns the signals observed outside the
@@ -105,7 +107,7 @@
         self._external_signals = external_signals
         self._metadata = metadata
         self._report = report
-        self._metadata_at = 0
+        self._next_metadata_at = 0
         self._routes = routes or {}
         self.counts: Counter[str] = Counter()
         self._last_number = 0
@@ -118,14 +120,16 @@
             self._framed_state,
             self._take,
         )
-        self._commands: deque[Callable[[], None]] = deque()  # from other threads, run in the channel's
+        self._commands: deque[Callable[[], None]] = (
+            deque()
+        )  # queued by other threads, run in the channel's thread
         self._wake_up = _WakeUp()
         self._closed = False
         self._thread = threading.Thread(target=self._run, name="members", daemon=True)
         self._refresh_snapshot()
 
     def start(self) -> None:
-        """Be a member from now on."""
+        """Start the thread and join the cluster."""
         for sock in self._sockets:
             sock.setblocking(False)
             self._selector.register(sock, selectors.EVENT_READ)
@@ -137,7 +141,7 @@
         self._run_in_thread(lambda: self._member.publish_phase(Phase.DRAINING))
 
     def close(self, wait_s: float = 0.5) -> None:
-        """Announce that this member leaves, and end the thread."""
+        """Notify other members that this one leaves, and stop the thread."""
 
         def leave() -> None:
             self._perform(self._member.leave(clock.now()))
@@ -147,7 +151,7 @@
         self._thread.join(wait_s)
 
     def drop(self) -> None:
-        """Release the sockets of a channel that was never started."""
+        """Release the sockets of a transport that was never started."""
         self._selector.close()
         self._sockets.close()
         self._wake_up.close()
@@ -162,10 +166,10 @@
         while not self._closed:
             try:
                 self._run_once()
-            except Exception as error:  # the others would take this server for failed
+            except Exception as error:  # if this thread ended, other members would declare this server failed
                 self.counts["errors"] += 1
                 self._report(ReportEvent("member.error", {"what": f"{type(error).__name__} {error}"}))
-                threading.Event().wait(AFTER_ERROR_S)
+                threading.Event().wait(ERROR_PAUSE_S)
         self._connections.close_all()
         self._selector.close()
         self._sockets.close()
@@ -190,8 +194,8 @@
 
     def _tick(self, now: int) -> None:
         self._member.external_signals = self._external_signals()
-        if now >= self._metadata_at:
-            self._metadata_at = now + METADATA_INTERVAL_US
+        if now >= self._next_metadata_at:
+            self._next_metadata_at = now + METADATA_INTERVAL_US
             self._member.publish_metadata(self._metadata())
         self._perform(self._member.tick(now))
 
@@ -237,14 +241,14 @@
             return
         self.counts["sent"] += 1
         self.counts["sent bytes"] += len(data)
-        with contextlib.suppress(OSError):  # a full buffer, or no route: as if it were lost
+        with contextlib.suppress(OSError):  # a full buffer or no route counts as a lost datagram
             self._sockets.udp.sendto(data, self._routes.get(address, address))
 
     def _read_datagrams(self) -> None:
         for _ in range(READ_BATCH):
             try:
                 data, source = self._sockets.udp.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # none left, or the error of an earlier datagram that was not delivered
+            except OSError:  # no datagram left, or the pending error of an earlier undelivered one
                 return
             if self._limits.allow_receiving():
                 self._take(data, source, MAX_DATAGRAM_BYTES)
@@ -252,7 +256,7 @@
                 self.counts["flooded"] += 1
 
     def _take(self, data: bytes, source: Address, max_bytes: int) -> Message | None:
-        """Open a message and have the member handle it; None, and a count, if it can't be opened."""
+        """Open and handle a message; a message that can't be opened is counted and returns None."""
         try:
             opened = unseal(self._key, data, max_bytes)
         except EnvelopeError as error:
