--- a/tests/cluster_simulation.py
+++ b/tests/cluster_simulation.py
@@ -1,4 +1,4 @@
-"""Clusters of members in virtual time, for the tests of membership."""
+"""Helpers that run clusters of members in virtual time, for the membership tests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 from cairnvane.testbed.simulation.virtual_cluster import SECOND, Swim, World
 
 JOIN_S = 20
-# After a change all that are up and connected agree within this.
+# Time within which all members that are up and connected agree after a change.
 AGREE_S = 12
 
 
-def make_claim(life: int = 1, status: int = 0, incarnation: int = 0, by: int = 0, **more: str) -> Claim:
-    """A claim about a member that is reached at port `life`."""
-    return Claim(life, more.get("name", "n1"), more.get("place", "p1"), "h", life, status, incarnation, by)
+def make_claim(life: int = 1, status: int = 0, incarnation: int = 0, by: int = 0, **fields: str) -> Claim:
+    """A claim about an instance whose number and port are both `life`."""
+    return Claim(
+        life, fields.get("name", "n1"), fields.get("place", "p1"), "h", life, status, incarnation, by
+    )
 
 
 def start_cluster(members: int, seed: int = 1, loss: float = 0.0) -> World:
-    """A cluster whose members all know each other; from then on, links lose this share of datagrams."""
+    """Start a cluster; links lose datagrams with ratio `loss` only after all members know each other."""
     world = World(seed)
     for number in range(members):
         world.start(number)
@@ -29,22 +31,22 @@
 
 
 def member_of(world: World, number: int) -> SwimMember:
-    """The member under this number."""
+    """The member with this number."""
     player = world.players[number]
     assert isinstance(player, Swim)
     return player.member
 
 
 def count_failure_verdicts(world: World) -> int:
-    """How often some member declared another one failed."""
+    """Number of times that a member declared another one failed."""
     return sum(event.event == "member.failed" and "accusers" in event.details for _, _, event in world.told)
 
 
 def agrees(world: World, among: list[int] | None = None, within_s: float = AGREE_S) -> bool:
-    """Let time pass; whether these members, or all that run, come to see just each other."""
+    """Run until these members, or all running ones, see exactly each other; returns whether they do."""
     return world.run(world.now + int(within_s * SECOND), lambda: world.agree(among))
 
 
 def partition(*sides: set[int]) -> Callable[[int, int], bool]:
-    """Which links are cut if only members of one side reach each other."""
+    """A predicate for the links that are cut when members reach only members of their own side."""
     return lambda source, target: not any({source, target} <= side for side in sides)
--- a/tests/membership/test_failure_detection.py
+++ b/tests/membership/test_failure_detection.py
@@ -1,4 +1,4 @@
-"""Members in virtual time: failures are found, and no member that is up is declared failed."""
+"""Clusters in virtual time: failures are detected, and no running member is declared failed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("loss", [0.0, 0.05])
-def test_a_kill_is_known_to_all_and_nobody_else_is_declared_failed(seed: int, loss: float) -> None:
+def test_killed_member_is_detected_by_all_without_false_failures(seed: int, loss: float) -> None:
     world = start_cluster(12, seed, loss)
     world.run(world.now + 20 * SECOND)
     assert count_failure_verdicts(world) == 0
@@ -23,14 +23,14 @@
 
 @pytest.mark.parametrize("members", [5, 12])
 @pytest.mark.parametrize("seed", range(4))
-def test_with_three_in_ten_datagrams_lost_nobody_is_declared_failed(members: int, seed: int) -> None:
+def test_no_false_failure_with_thirty_percent_datagram_loss(members: int, seed: int) -> None:
     world = start_cluster(members, seed, 0.3)
     world.run(world.now + 20 * SECOND)
     assert count_failure_verdicts(world) == 0, f"seed {seed}"
 
 
-def test_sixty_with_three_in_ten_lost_declare_nobody_failed_and_find_a_kill() -> None:
-    """Each suspicion costs two queue: they must not be so many that no refutation gets through."""
+def test_sixty_members_with_thirty_percent_loss_detect_a_kill_without_false_failures() -> None:
+    """Each suspicion queues two claims; with too many of them, refutations would not get through."""
     world = start_cluster(60, loss=0.3)
     world.run(world.now + 10 * SECOND)
     assert count_failure_verdicts(world) == 0
@@ -42,27 +42,27 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 3, 30])
-def test_a_member_that_was_frozen_accuses_nobody_and_is_taken_back(seconds: int) -> None:
+def test_resumed_member_declares_no_failure_and_is_seen_as_up_again(seconds: int) -> None:
     world = start_cluster(5, seed=seconds)
     world.freeze(2, True)
     world.run(world.now + seconds * SECOND)
     world.freeze(2, False)
-    woken = world.now
+    resumed_at = world.now
     world.run(world.now + SECOND)
     assert agrees(world)
-    events_of_woken = [event for at, number, event in world.told if number == 2 and at >= woken]
-    assert not any("accusers" in event.details for event in events_of_woken)
+    events_after_resume = [event for at, number, event in world.told if number == 2 and at >= resumed_at]
+    assert not any("accusers" in event.details for event in events_after_resume)
     assert member_of(world, 2).counts.held_up > 0
 
 
 CUTS: dict[str, tuple[int, Callable[[int, int], bool]]] = {
-    "one way": (5, lambda source, to: (source, to) == (0, 1)),
-    "chain": (3, lambda source, to: {source, to} == {0, 2}),
+    "one way": (5, lambda source, target: (source, target) == (0, 1)),
+    "chain": (3, lambda source, target: {source, target} == {0, 2}),
 }
 
 
 @pytest.mark.parametrize("name", list(CUTS))
-def test_a_member_that_is_reached_through_others_is_declared_failed_by_none(name: str) -> None:
+def test_member_reachable_only_through_helpers_is_not_declared_failed(name: str) -> None:
     members, cut = CUTS[name]
     world = start_cluster(members)
     world.cut = cut
@@ -70,21 +70,23 @@
     assert count_failure_verdicts(world) == 0 and world.agree()
 
 
-def test_the_simultaneous_loss_of_twenty_of_sixty_is_found() -> None:
+def test_simultaneous_failure_of_twenty_of_sixty_is_detected() -> None:
     world = start_cluster(60)
-    lost = {f"{world.kill(number):016x}" for number in range(0, 60, 3)}
+    killed = {f"{world.kill(number):016x}" for number in range(0, 60, 3)}
     assert agrees(world, within_s=20)
-    assert {event.details["life"] for _, _, event in world.told if event.event == "member.failed"} == lost
+    assert {event.details["life"] for _, _, event in world.told if event.event == "member.failed"} == killed
 
 
-def test_the_hard_cases_of_a_large_cluster_end_in_agreement_without_a_false_verdict() -> None:
+def test_hard_cases_of_a_large_cluster_end_in_agreement_without_false_failures() -> None:
     report = cases([12], 1)
     assert report.good and len(report.rows) == 3, report.lines()
     assert not CaseReport([Case("third", 12, [], 1, 0, 1.0)]).good
     assert not CaseReport([Case("flap", 12, [1.0], 0, 2, 1.0)]).good
 
 
-def test_with_two_attempts_whatever_the_loss_many_are_suspected(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_fixed_number_of_ping_attempts_causes_many_suspicions_under_loss(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(ping_schedule.PingLossEstimator, "attempts_needed", lambda loss: 2)
     world = start_cluster(60, loss=0.3)
     world.run(world.now + 10 * SECOND)
@@ -93,9 +95,9 @@
     )
 
 
-def test_without_final_pings_members_that_are_up_are_declared_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_final_pings_running_members_are_declared_failed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(suspicion, "suspicion_timeout_us", lambda *args: 1_000)
-    monkeypatch.setattr(swim, "required_final_pings", lambda doubt, tries: 0)
+    monkeypatch.setattr(swim, "required_final_pings", lambda score, attempts: 0)
     monkeypatch.setattr(ping_schedule.PingLossEstimator, "attempts_needed", lambda loss: 2)
     world = start_cluster(5)
     world.loss = 0.3
@@ -103,8 +105,8 @@
     assert count_failure_verdicts(world) > 0
 
 
-def test_a_member_that_was_held_up_once_recovers_its_local_health() -> None:
-    """An answer that leaves nothing to do for a while is no sign of a stall, though waits are long then."""
+def test_local_health_recovers_after_one_stall() -> None:
+    """Long waits after a stall must not count as another stall when an answer leaves nothing else to do."""
     world = start_cluster(4)
     world.run(world.now + 3 * SECOND)
     world.freeze(1, True)
--- a/tests/membership/test_member_claims.py
+++ b/tests/membership/test_member_claims.py
@@ -1,4 +1,4 @@
-"""Which claims and metadata count, and how long they are remembered and gossiped."""
+"""Merging, expiry and gossip of claims and metadata."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @settings(derandomize=True)
 @given(st.lists(claims, max_size=12), st.randoms(use_true_random=False))
-def test_order_and_repetition_of_claims_make_no_difference(
+def test_merge_result_is_independent_of_claim_order_and_repetition(
     received: list[Claim],
     rng: random.Random,
 ) -> None:
@@ -32,11 +32,11 @@
         table.merge(claim, 0)
     for claim in shuffled:
         shuffled_table.merge(claim, 0)
-    ranks = {life: record.claim.rank for life, record in table.records.items()}
-    assert ranks == {life: record.claim.rank for life, record in shuffled_table.records.items()}
+    ranks = {instance_id: record.claim.rank for instance_id, record in table.records.items()}
+    assert ranks == {instance_id: record.claim.rank for instance_id, record in shuffled_table.records.items()}
 
 
-def test_only_a_higher_incarnation_revives_a_failed_instance_and_nothing_one_that_left() -> None:
+def test_only_a_higher_incarnation_revives_a_failed_instance_and_a_left_one_stays_left() -> None:
     table = Table()
     for claim, status in (
         (make_claim(), 0),
@@ -52,7 +52,7 @@
         assert table.records[1].status == status
 
 
-def test_metadata_keys_of_a_later_version_are_kept_and_oversized_metadata_is_not() -> None:
+def test_unknown_metadata_keys_are_kept_and_oversized_metadata_is_rejected() -> None:
     table = Table()
     table.merge(make_claim(), 0)
     assert table.update_metadata(Info(1, 0, 2, {"load": 0.5, "of a later version": "x"}))
@@ -61,30 +61,30 @@
     assert table.records[1].info == Info(1, 0, 2, {"load": 0.5, "of a later version": "x"})
 
 
-def test_tombstones_expire_by_age_and_by_number() -> None:
+def test_tombstones_expire_by_age_and_by_count() -> None:
     table = Table()
-    for life in range(1, 9):
-        table.merge(make_claim(life, 2), life)
+    for instance_id in range(1, 9):
+        table.merge(make_claim(instance_id, 2), instance_id)
     assert table.remove_expired(10, retention=100, max_per_name=4) == [1, 2, 3, 4]
     assert table.remove_expired(107, retention=100, max_per_name=4) == [5, 6] and set(table.records) == {7, 8}
 
 
-def test_claims_are_gossiped_a_limited_number_of_times_and_their_number_is_bounded() -> None:
+def test_claim_queue_limits_transmissions_and_size() -> None:
     queue = ClaimQueue()
-    for life in range(MAX_QUEUED_CLAIMS + 50):
-        queue.add(make_claim(life))
+    for instance_id in range(MAX_QUEUED_CLAIMS + 50):
+        queue.add(make_claim(instance_id))
     assert len(queue) == MAX_QUEUED_CLAIMS
-    picked = 0
-    while some := queue.pick(6, 12):
-        picked += len(some)
-    assert picked == MAX_QUEUED_CLAIMS * transmit_limit(12)
+    transmissions = 0
+    while picked := queue.pick(6, 12):
+        transmissions += len(picked)
+    assert transmissions == MAX_QUEUED_CLAIMS * transmit_limit(12)
     queue.add(make_claim(7, 1))
     queue.add(make_claim(8, 1))
     assert queue.pick(2, 12, first=7)[0].life == 7
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_fields",
     [
         {"host": "name.to.look.up"},
         {"port": 0},
@@ -94,13 +94,13 @@
         {"incarnation": 1 << 40},
     ],
 )
-def test_an_invalid_claim_adds_no_member(wrong: dict[str, Any]) -> None:
+def test_invalid_claim_adds_no_member(invalid_fields: dict[str, Any]) -> None:
     world = start_cluster(2)
     member = member_of(world, 0)
     known = set(member.table.records)
-    good = Claim(55, "n5", "p5", "10.0.0.1", 5, 0, 0)
-    bad = msgspec.structs.replace(good, **wrong)
-    member.handle(world.now, 77, 1, ("h", 9), Ping(3, member.own.life, [bad]))
+    valid_claim = Claim(55, "n5", "p5", "10.0.0.1", 5, 0, 0)
+    invalid_claim = msgspec.structs.replace(valid_claim, **invalid_fields)
+    member.handle(world.now, 77, 1, ("h", 9), Ping(3, member.own.life, [invalid_claim]))
     assert set(member.table.records) == known and member.counts.insane == 1
-    member.handle(world.now, 77, 2, ("h", 9), Ping(3, member.own.life, [good]))
+    member.handle(world.now, 77, 2, ("h", 9), Ping(3, member.own.life, [valid_claim]))
     assert set(member.table.records) == known | {55}
--- a/tests/membership/test_member_envelope.py
+++ b/tests/membership/test_member_envelope.py
@@ -1,4 +1,4 @@
-"""Messages in their envelopes: authenticated, bounded, and protected against replay."""
+"""Message envelopes: authentication, size limits, and protection against replay."""
 
 from __future__ import annotations
 
@@ -18,23 +18,27 @@
 KEY = b"of the tests"
 
 
-def test_a_sealed_message_is_read_back_and_a_changed_one_is_rejected() -> None:
+def test_sealed_message_round_trips_and_a_modified_one_is_rejected() -> None:
     message = Ping(7, 2, [make_claim()], [Info(1, 0, 1, {"load": 1.5})])
     data = seal(KEY, 5, 9, message)
     assert unseal(KEY, data) == (5, 9, message)
-    for at in range(len(data)):
+    for position in range(len(data)):
         with pytest.raises(EnvelopeError):
-            unseal(KEY, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :])
-    for wrong, fault in ((data[:-1], "stranger"), (data[:20], "torn"), (data + bytes(2_000), "oversized")):
+            unseal(KEY, data[:position] + bytes([data[position] ^ 1]) + data[position + 1 :])
+    for invalid_data, fault in (
+        (data[:-1], "stranger"),
+        (data[:20], "torn"),
+        (data + bytes(2_000), "oversized"),
+    ):
         with pytest.raises(EnvelopeError, match=fault):
-            unseal(KEY, wrong)
+            unseal(KEY, invalid_data)
 
 
 @settings(derandomize=True, max_examples=500)
 @given(st.binary(max_size=1_500))
 def test_arbitrary_bytes_raise_nothing_but_an_envelope_error(body: bytes) -> None:
-    head = seal(KEY, 5, 9, Ping(1, 2))[:20]
-    for data in (body, head + body, head + body + keyed_hash(KEY, head + body)):
+    header = seal(KEY, 5, 9, Ping(1, 2))[:20]
+    for data in (body, header + body, header + body + keyed_hash(KEY, header + body)):
         with contextlib.suppress(EnvelopeError):
             unseal(KEY, data)
 
@@ -42,35 +46,42 @@
 @settings(derandomize=True)
 @given(st.lists(st.integers(0, 200), max_size=300))
 def test_replay_window_accepts_each_number_once(numbers: list[int]) -> None:
-    seen, taken = ReplayWindow(), list[int]()
+    window, accepted = ReplayWindow(), list[int]()
     for number in numbers:
-        if seen.accept(number):
-            taken.append(number)
-    assert len(taken) == len(set(taken)) and 0 not in taken
-    assert not numbers or max(numbers) == 0 or max(numbers) in taken
-
-
-def test_the_largest_datagram_stays_within_the_limit() -> None:
-    long = Claim(1 << 63, "n" * 40, "255.255.255.255:65535", "255.255.255.255", 65_535, 2, 1 << 30, 1 << 63)
-    info = Info(1 << 63, 1 << 30, 1 << 30, {"x": "y" * 200})
-    largest = Ack(1 << 40, 1 << 63, [long] * messages.MAX_CLAIMS, [info] * messages.MAX_METADATA_ENTRIES)
+        if window.accept(number):
+            accepted.append(number)
+    assert len(accepted) == len(set(accepted)) and 0 not in accepted
+    assert not numbers or max(numbers) == 0 or max(numbers) in accepted
+
+
+def test_largest_datagram_stays_within_the_limit() -> None:
+    longest_claim = Claim(
+        1 << 63, "n" * 40, "255.255.255.255:65535", "255.255.255.255", 65_535, 2, 1 << 30, 1 << 63
+    )
+    largest_info = Info(1 << 63, 1 << 30, 1 << 30, {"x": "y" * 200})
+    largest = Ack(
+        1 << 40,
+        1 << 63,
+        [longest_claim] * messages.MAX_CLAIMS,
+        [largest_info] * messages.MAX_METADATA_ENTRIES,
+    )
     assert len(seal(KEY, 1 << 63, 1 << 63, largest)) < messages.MAX_DATAGRAM_BYTES
 
 
-def test_a_state_in_parts_holds_each_instance_once() -> None:
+def test_split_state_contains_each_instance_once() -> None:
     world = start_cluster(80)
     member = member_of(world, 0)
     views = member.state_messages(True)
     assert [view.answer for view in views] == [True, False]
-    lives = [claim.life for view in views for claim in view.claims]
-    assert len(lives) == len(set(lives)) == 80
+    instance_ids = [claim.life for view in views for claim in view.claims]
+    assert len(instance_ids) == len(set(instance_ids)) == 80
 
 
-def test_a_ping_for_an_earlier_instance_is_answered_by_the_present_one_and_a_replay_by_none() -> None:
+def test_ping_for_an_earlier_instance_is_answered_and_its_replay_is_ignored() -> None:
     world = start_cluster(2)
     member = member_of(world, 0)
-    out = member.handle(world.now, 77, 1, ("h", 9), Ping(3, 12_345))
-    (sent,) = [action for action in out if isinstance(action, Send)]
+    actions = member.handle(world.now, 77, 1, ("h", 9), Ping(3, 12_345))
+    (sent,) = [action for action in actions if isinstance(action, Send)]
     assert isinstance(sent.message, Ack) and sent.message.target == member.own.life
     assert member.handle(world.now, 77, 1, ("h", 9), Ping(3, 12_345)) == [] and member.counts.replayed == 1
     assert member.handle(world.now, member.own.life, 2, ("h", 9), View(False)) == []
--- a/tests/membership/test_member_own_health.py
+++ b/tests/membership/test_member_own_health.py
@@ -1,4 +1,4 @@
-"""What a server observes of itself: arrivals of requests and its event loop."""
+"""Health signals of the server itself: request arrivals and its event loop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from cairnvane.testbed.simulation.membership import SECOND
 
 
-def test_requests_are_missed_by_their_usual_gap() -> None:
+def test_missing_requests_are_detected_relative_to_the_mean_gap() -> None:
     arrivals, now = RequestArrivals(), 0
     assert arrivals.are_arriving(now) is None
     for _ in range(60):
@@ -29,25 +29,25 @@
     assert arrivals.are_arriving(now + 9 * SECOND) and not arrivals.are_arriving(now + 11 * SECOND)
 
 
-def test_an_unresponsive_event_loop_lowers_local_health_and_accuses_nobody() -> None:
-    pulse = EventLoopMonitor()
+def test_unresponsive_event_loop_degrades_local_health_and_causes_no_suspicion() -> None:
+    monitor = EventLoopMonitor()
     assert (
-        pulse.should_ask(0)
-        and not pulse.should_ask(ASK_INTERVAL_US)
-        and pulse.is_responsive(UNRESPONSIVE_AFTER_US - 1)
+        monitor.should_ask(0)
+        and not monitor.should_ask(ASK_INTERVAL_US)
+        and monitor.is_responsive(UNRESPONSIVE_AFTER_US - 1)
     )
-    assert not pulse.is_responsive(UNRESPONSIVE_AFTER_US)
-    pulse.answered()
-    assert pulse.is_responsive(UNRESPONSIVE_AFTER_US) and pulse.should_ask(ASK_INTERVAL_US)
+    assert not monitor.is_responsive(UNRESPONSIVE_AFTER_US)
+    monitor.answered()
+    assert monitor.is_responsive(UNRESPONSIVE_AFTER_US) and monitor.should_ask(ASK_INTERVAL_US)
 
     world = start_cluster(5)
     member = member_of(world, 2)
-    for works in (False, True):
-        member.external_signals = ExternalSignals(event_loop_responsive=works)
+    for responsive in (False, True):
+        member.external_signals = ExternalSignals(event_loop_responsive=responsive)
         world.run(world.now + 3 * SECOND)
         events = [event.event for _, number, event in world.told if number == 2]
-        assert ("member.host_works" in events) is works and "member.host_held_up" in events
-        assert works or member.health.score > 0
+        assert ("member.host_works" in events) is responsive and "member.host_held_up" in events
+        assert responsive or member.health.score > 0
     assert count_failure_verdicts(world) == 0 and not any(
         event.event == "member.suspected" for _, _, event in world.told
     )
--- a/tests/membership/test_member_processes.py
+++ b/tests/membership/test_member_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the real program that know each other: killed, stopped, restarted, drained."""
+"""A cluster of real server processes that are killed, stopped, restarted and drained."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 
 
 def free_port() -> int:
-    """With the next one free as well, for a new version."""
+    """A free port whose next port is free as well, for a new version."""
     return free_ports(1, above=1)[0]
 
 
 @dataclass
 class Cluster:
-    """Servers with members on, and their administration endpoints."""
+    """Servers with membership enabled, and their administration endpoints."""
 
     folder: Path
     admin_addresses: list[str] = field(default_factory=list)
@@ -80,11 +80,11 @@
         with urllib.request.urlopen(
             f"http://{self.admin_addresses[number]}/-/members", timeout=WAIT_S
         ) as answer:
-            got: dict[str, Any] = json.load(answer)
-            return got
+            membership: dict[str, Any] = json.load(answer)
+            return membership
 
     def seen_statuses(self, number: int) -> dict[str, str]:
-        """The best that it knows of each name."""
+        """The best status that this member knows for each name, over all instances."""
         rank = ("alive", "suspect", "failed", "left")
         seen: dict[str, str] = {}
         for member in self.membership(number)["members"]:
@@ -92,11 +92,11 @@
             seen[member["name"]] = min(before, member["status"], key=rank.index)
         return seen
 
-    def all_see(self, who: list[int], status: str, of: list[int]) -> bool:
+    def all_see(self, observers: list[int], status: str, observed: list[int]) -> bool:
         return all(
             self.seen_statuses(number).get(f"n{other}") == status
-            for number in who
-            for other in of
+            for number in observers
+            for other in observed
             if other != number
         )
 
@@ -110,44 +110,44 @@
 
 @pytest.fixture
 def cluster(tmp_path: Path) -> Iterator[Cluster]:
-    made = Cluster(tmp_path)
+    servers = Cluster(tmp_path)
     for _ in range(4):
-        made.add()
-    with contextlib.closing(made):
-        yield made
+        servers.add()
+    with contextlib.closing(servers):
+        yield servers
 
 
-def wait_until(holds: Callable[[], bool]) -> None:
-    """A generous bound: what is judged is that it comes, not when."""
-    end = time.monotonic() + 30
-    while not holds():
-        assert time.monotonic() < end
+def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait with a generous limit: the tests check that the condition becomes true, not when."""
+    deadline = time.monotonic() + 30
+    while not condition():
+        assert time.monotonic() < deadline
         time.sleep(0.05)
 
 
-EVERYBODY = [0, 1, 2, 3]
+ALL_SERVERS = [0, 1, 2, 3]
 
 
-def test_a_member_that_is_killed_frozen_restarted_and_drained_is_seen_so_by_all(cluster: Cluster) -> None:
-    wait_until(lambda: cluster.all_see(EVERYBODY, "alive", EVERYBODY))
+def test_kill_restart_stop_and_drain_are_seen_by_all_members(cluster: Cluster) -> None:
+    wait_until(lambda: cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS))
     cluster.lives[3].kill()
     wait_until(lambda: cluster.all_see([0, 1, 2], "failed", [3]))
     cluster.restart(3)
-    wait_until(lambda: cluster.all_see(EVERYBODY, "alive", EVERYBODY))
+    wait_until(lambda: cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS))
 
     cluster.lives[2].process.send_signal(signal.SIGSTOP)
     wait_until(lambda: cluster.all_see([0, 1, 3], "failed", [2]))
-    cluster.lives[2].process.send_signal(signal.SIGCONT)  # believing itself well
-    wait_until(lambda: cluster.all_see(EVERYBODY, "alive", EVERYBODY))
-    wait_until(
-        lambda: any("member.held_up" in line for line in cluster.lives[2].lines)
-    )  # the others may know first
+    # The process resumes without knowing that it was declared failed.
+    cluster.lives[2].process.send_signal(signal.SIGCONT)
+    wait_until(lambda: cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS))
+    # Its log line may come after the others have seen it.
+    wait_until(lambda: any("member.held_up" in line for line in cluster.lives[2].lines))
     log_lines = list(cluster.lives[2].lines)
-    woken = next(number for number, line in enumerate(log_lines) if "member.held_up" in line)
-    assert not any("member.failed" in line and "accusers" in line for line in log_lines[woken:])
+    resumed_line = next(number for number, line in enumerate(log_lines) if "member.held_up" in line)
+    assert not any("member.failed" in line and "accusers" in line for line in log_lines[resumed_line:])
 
-    done = CliRunner().invoke(main, ["members", "--door", cluster.admin_addresses[0]])
-    assert all(f"n{number}" in done.output for number in EVERYBODY), done.output
+    result = CliRunner().invoke(main, ["members", "--door", cluster.admin_addresses[0]])
+    assert all(f"n{number}" in result.output for number in ALL_SERVERS), result.output
     with urllib.request.urlopen(
         f"http://{cluster.admin_addresses[0]}/-/members/metrics", timeout=WAIT_S
     ) as answer:
@@ -168,8 +168,8 @@
     assert not any("member.suspected" in line and "name=n1" in line for line in log_lines)
 
 
-def test_a_concurrent_new_version_takes_another_port_and_is_the_same_member(cluster: Cluster) -> None:
-    wait_until(lambda: cluster.all_see(EVERYBODY, "alive", EVERYBODY))
+def test_concurrent_new_version_uses_another_port_and_is_the_same_member(cluster: Cluster) -> None:
+    wait_until(lambda: cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS))
     old = cluster.lives[1]
     site = replace(
         cluster.sites[1],
@@ -182,7 +182,7 @@
     cluster.lives.append(new)
     assert new.listens(), new.lines
 
-    def lives() -> set[tuple[str, str]]:
+    def instances() -> set[tuple[str, str]]:
         return {
             (member["status"], member["address"])
             for member in cluster.membership(0)["members"]
@@ -190,32 +190,32 @@
         }
 
     first, second = (f"127.0.0.1:{cluster.ports[1] + above}" for above in (0, 1))
-    wait_until(lambda: lives() == {("alive", first), ("alive", second)})
+    wait_until(lambda: instances() == {("alive", first), ("alive", second)})
     assert old.stop(WAIT_S) == 0
-    wait_until(lambda: lives() == {("left", first), ("alive", second)})
+    wait_until(lambda: instances() == {("left", first), ("alive", second)})
     assert cluster.membership(0)["sight"]["verdict"] == "together"
     log_lines = [line for life in cluster.lives for line in life.lines]
-    bad = [line for line in log_lines if "member.same_name" in line or "member.suspected" in line]
-    assert not bad, bad
+    unexpected = [line for line in log_lines if "member.same_name" in line or "member.suspected" in line]
+    assert not unexpected, unexpected
 
 
 def test_unauthenticated_bytes_are_counted_and_change_nothing(cluster: Cluster) -> None:
-    wait_until(lambda: cluster.all_see(EVERYBODY, "alive", EVERYBODY))
+    wait_until(lambda: cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"", b"x" * 50, b"CVM\x01" + bytes(60), bytes(1_500)) * 20:
             sock.sendto(data, ("127.0.0.1", cluster.ports[0]))
-    with socket.create_connection(("127.0.0.1", cluster.ports[0]), WAIT_S) as whole:
-        whole.sendall(b"\0\0\0\x20" + bytes(32))
+    with socket.create_connection(("127.0.0.1", cluster.ports[0]), WAIT_S) as connection:
+        connection.sendall(b"\0\0\0\x20" + bytes(32))
 
-    def counted() -> bool:
+    def all_counted() -> bool:
         counts = cluster.membership(0)["counts"]
         return [counts.get(name, 0) for name in ("torn", "stranger", "oversized")] == [21, 40, 20]
 
-    wait_until(counted)
-    assert cluster.all_see(EVERYBODY, "alive", EVERYBODY)
+    wait_until(all_counted)
+    assert cluster.all_see(ALL_SERVERS, "alive", ALL_SERVERS)
 
 
 def test_the_members_command_fails_and_names_the_address_without_membership(tmp_path: Path) -> None:
     address = f"127.0.0.1:{free_port()}"
-    done = CliRunner().invoke(main, ["members", "--door", address])
-    assert done.exit_code == 1 and address in done.output
+    result = CliRunner().invoke(main, ["members", "--door", address])
+    assert result.exit_code == 1 and address in result.output
--- a/tests/membership/test_model_checker.py
+++ b/tests/membership/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker explores small clusters exhaustively and finds mutants; fuzzed datagrams do no harm."""
+"""The model checker explores small clusters exhaustively and detects mutants; fuzzed datagrams do no harm."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 from cairnvane.testbed.simulation.model_checker import MUTANTS, World, _shares, _walk, explore
 
 
-def test_three_members_agree_in_the_end_whatever_happens_in_two_steps(tmp_path: Path) -> None:
+def test_three_members_reach_agreement_after_any_two_steps(tmp_path: Path) -> None:
     path = tmp_path / "report.json"
-    done = CliRunner().invoke(main, ["lab", "explore", "--depth", "2", "--workers", "1", "--json", str(path)])
+    result = CliRunner().invoke(
+        main, ["lab", "explore", "--depth", "2", "--workers", "1", "--json", str(path)]
+    )
     report = json.loads(path.read_text())
-    assert done.exit_code == 0 and not report["cut_short"], done.output
+    assert result.exit_code == 0 and not report["cut_short"], result.output
     assert all(count >= 50 for count in report["states"].values()) and sum(report["ends"].values()) > 200
 
 
-# What a mutant needs to be found: members, steps, and where from.
-MUTANT_FOUND_BY = {
+# Members, depth and initial state with which the model checker detects each mutant.
+MUTANT_DETECTED_WITH = {
     "no-refutation": (3, 2, "suspected"),
     "refutes-as-before": (3, 2, "suspected"),
     "no-second-look": (4, 1, "cut"),
@@ -36,14 +38,14 @@
 
 @pytest.mark.parametrize("mutant", list(MUTANTS))
 def test_each_mutant_breaks_an_invariant(mutant: str) -> None:
-    members, depth, beginning = MUTANT_FOUND_BY[mutant]
+    members, depth, beginning = MUTANT_DETECTED_WITH[mutant]
     report = explore(members, depth, beginnings=[beginning], mutant=mutant, workers=1)
     assert report.broken and report.path[0] == f"from {beginning}" and report.good, report.lines()
 
 
 def test_an_unknown_mutant_is_named() -> None:
-    done = CliRunner().invoke(main, ["lab", "explore", "--mutant", "none"])
-    assert done.exit_code == 2 and "no-refutation" in done.output
+    result = CliRunner().invoke(main, ["lab", "explore", "--mutant", "none"])
+    assert result.exit_code == 2 and "no-refutation" in result.output
 
 
 def test_fuzzed_datagrams_change_nothing() -> None:
@@ -59,12 +61,12 @@
 
 
 def test_the_fuzzer_notices_datagrams_that_are_not_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    take = MemberTransport._take
+    original_take = MemberTransport._take
     monkeypatch.setattr(
         MemberTransport,
         "_take",
         lambda self, data, source, max_bytes: (
-            take(self, data, source, max_bytes) if len(data) <= max_bytes else None
+            original_take(self, data, source, max_bytes) if len(data) <= max_bytes else None
         ),
     )
     report = fuzz(900, 3)
@@ -72,14 +74,14 @@
 
 
 def test_sharing_work_by_first_steps_leaves_out_no_state() -> None:
-    """Work is shared by first steps; the same states have to come out as of one walk."""
+    """Workers share the walk by its first steps; together they must reach the states of a single walk."""
     world = World(3)
-    begin = world.restarted()
-    whole = _walk(world, begin, [], 1, 10_000)
+    initial = world.restarted()
+    whole_walk = _walk(world, initial, [], 1, 10_000)
     assert (
-        len(list(world.steps(begin)))
-        == whole[1]
+        len(list(world.steps(initial)))
+        == whole_walk[1]
         == explore(3, 1, beginnings=["restarted"], workers=1).ends["restarted"]
     )
-    firsts = {tuple(path) for _, path in _shares(world, begin, 3)}
+    firsts = {tuple(path) for _, path in _shares(world, initial, 3)}
     assert len(firsts) > 24
