--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -85,20 +85,20 @@
         if record is None:
             record = MemberRecord(claim, now)
             self.records[claim.life] = record
-            self._enter(record)
+            self._add_to_indexes(record)
             return record
         if claim.rank <= record.claim.rank:
             return None
-        self._withdraw(record)
+        self._remove_from_indexes(record)
         if claim.status != record.claim.status:
             record.status_since = now
         if claim.incarnation != record.claim.incarnation or claim.status != Status.SUSPECT:
             record.accusers.clear()
         record.claim = claim
-        self._enter(record)
+        self._add_to_indexes(record)
         return record
 
-    def _enter(self, record: MemberRecord) -> None:
+    def _add_to_indexes(self, record: MemberRecord) -> None:
         """Add a record to the indexes."""
         self.version += 1
         claim = record.claim
@@ -106,7 +106,7 @@
         if record.is_up:
             self._up_by_address.setdefault((claim.host, claim.port), {})[claim.life] = record
 
-    def _withdraw(self, record: MemberRecord) -> None:
+    def _remove_from_indexes(self, record: MemberRecord) -> None:
         """Remove a record from the indexes."""
         claim = record.claim
         del self._by_status[claim.status][claim.life]
@@ -119,7 +119,7 @@
 
     def drop(self, instance_id: int) -> None:
         """Remove an instance; `KeyError` if the table does not contain it."""
-        self._withdraw(self.records.pop(instance_id))
+        self._remove_from_indexes(self.records.pop(instance_id))
         self.version += 1
 
     def update_metadata(self, info: Info) -> bool:
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -118,7 +118,7 @@
             self.counts,
             self._routes,
             self._framed_state,
-            self._take,
+            self._handle_sealed,
         )
         self._commands: deque[Callable[[], None]] = (
             deque()
@@ -251,11 +251,11 @@
             except OSError:  # no datagram left, or the pending error of an earlier undelivered one
                 return
             if self._limits.allow_receiving():
-                self._take(data, source, MAX_DATAGRAM_BYTES)
+                self._handle_sealed(data, source, MAX_DATAGRAM_BYTES)
             else:
                 self.counts["flooded"] += 1
 
-    def _take(self, data: bytes, source: Address, max_bytes: int) -> Message | None:
+    def _handle_sealed(self, data: bytes, source: Address, max_bytes: int) -> Message | None:
         """Open and handle a message; a message that can't be opened is counted and returns None."""
         try:
             opened = unseal(self._key, data, max_bytes)
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -186,7 +186,7 @@
         name, generate = kinds[number % len(kinds)]
         datagram = generate()
         try:
-            transport._take(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
+            transport._handle_sealed(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
         except Exception as error:
             report.errors.append(f"{name}, {datagram[:40].hex()}: {type(error).__name__} {error}")
         if (number + 1) % PROGRESS_DATAGRAMS == 0:
@@ -218,7 +218,7 @@
     member = transport._member
     accepted = _accepted_pings(member, claims)
     for datagram in accepted:
-        transport._take(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
+        transport._handle_sealed(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
     before = _snapshot(member)
     counts_before = Counter(transport.counts)
     replayed_before = member.counts.replayed
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -19,9 +19,9 @@
 
     def take_any(self: Table, claim: Claim, now: int) -> Any:
         if (known := self.records.get(claim.life)) is not None:
-            self._withdraw(known)
+            self._remove_from_indexes(known)
             known.claim = claim
-            self._enter(known)
+            self._add_to_indexes(known)
             return known
         return None
 
--- a/tests/membership/test_model_checker.py
+++ b/tests/membership/test_model_checker.py
@@ -61,10 +61,10 @@
 
 
 def test_the_fuzzer_notices_datagrams_that_are_not_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    original_take = MemberTransport._take
+    original_take = MemberTransport._handle_sealed
     monkeypatch.setattr(
         MemberTransport,
-        "_take",
+        "_handle_sealed",
         lambda self, data, source, max_bytes: (
             original_take(self, data, source, max_bytes) if len(data) <= max_bytes else None
         ),
