--- a/benchmarks/members_rumours.py
+++ b/benchmarks/members_rumours.py
@@ -28,17 +28,17 @@
 
     def add(self, claim: Claim) -> None:
         self._count += 1
-        self._waiting[claim.life] = (0, self._count, claim)
+        self._waiting[claim.instance_id] = (0, self._count, claim)
 
     def pick(self, most: int, members: int) -> list[Claim]:
         entries = heapq.nsmallest(most, self._waiting.values(), key=lambda entry: (entry[0], -entry[1]))
         picked = [claim for _, _, claim in entries]
         for claim in picked:
-            times_sent, age, _ = self._waiting[claim.life]
+            times_sent, age, _ = self._waiting[claim.instance_id]
             if times_sent + 1 >= tells(members):
-                del self._waiting[claim.life]
+                del self._waiting[claim.instance_id]
             else:
-                self._waiting[claim.life] = (times_sent + 1, age, claim)
+                self._waiting[claim.instance_id] = (times_sent + 1, age, claim)
         return picked
 
 
--- a/cairnvane/membership/actions.py
+++ b/cairnvane/membership/actions.py
@@ -58,6 +58,6 @@
 
     def report(self, event: str, claim: Claim, by: int = 0, **details: Any) -> None:
         """Report an event about the claim's subject; `by` is the instance that caused it, or 0."""
-        subject = {"name": claim.name, "life": f"{claim.life:016x}", "incarnation": claim.incarnation}
+        subject = {"name": claim.name, "life": f"{claim.instance_id:016x}", "incarnation": claim.incarnation}
         cause = {"by": f"{by:016x}"} if by else {}
         self._actions.append(ReportEvent(event, subject | cause | details))
--- a/cairnvane/membership/claim_merger.py
+++ b/cairnvane/membership/claim_merger.py
@@ -41,7 +41,7 @@
 
     def merge(self, claim: Claim, now: int) -> None:
         """Apply a valid claim about another member if it supersedes the known one or confirms a suspicion."""
-        record = self._table.records.get(claim.life)
+        record = self._table.records.get(claim.instance_id)
         if record is None and claim.status >= Status.FAILED:
             # An unknown instance is kept as a tombstone, so that no older claim adds it as alive.
             self._table.merge(claim, now)
@@ -63,11 +63,11 @@
     def _follow_up(self, record: MemberRecord, claim: Claim, now: int) -> None:
         if claim.status == Status.SUSPECT:
             self._suspicions.begin(record, claim.by, now)
-            self._schedule.prioritize(claim.life, len(self._table.records) + 1)
+            self._schedule.prioritize(claim.instance_id, len(self._table.records) + 1)
         elif claim.status == Status.FAILED:
-            self._partition.record_loss(claim.life, now)
+            self._partition.record_loss(claim.instance_id, now)
         else:
-            self._partition.clear_loss(claim.life)
+            self._partition.clear_loss(claim.instance_id)
 
     def _report_status(self, before: Status | None, record: MemberRecord, claim: Claim) -> None:
         recovered = before is Status.FAILED and record.status is Status.ALIVE
@@ -83,9 +83,9 @@
         else:
             conflicting = self._table.same_name_elsewhere(claim.name, claim.place)
             other_places = [other.claim.place for other in conflicting]
-        if not other_places or claim.life in self._conflicts_reported:
+        if not other_places or claim.instance_id in self._conflicts_reported:
             return
-        self._conflicts_reported.add(claim.life)
+        self._conflicts_reported.add(claim.instance_id)
         self._outbox.report("member.same_name", claim, place=claim.place, other_place=other_places[0])
 
     def replace_predecessors(self, record: MemberRecord, source: tuple[str, int], now: int) -> None:
--- a/cairnvane/membership/claims.py
+++ b/cairnvane/membership/claims.py
@@ -56,7 +56,7 @@
     place; different servers have different places.
     """
 
-    life: int
+    instance_id: int
     name: str
     place: str
     host: str
@@ -82,7 +82,7 @@
     Members keep and forward keys that they do not know, which a later version of the program may add.
     """
 
-    life: int
+    instance_id: int
     incarnation: int
     version: int
     metadata: dict[str, Any] = {}
--- a/cairnvane/membership/dissemination.py
+++ b/cairnvane/membership/dissemination.py
@@ -60,8 +60,8 @@
         """Answer a ping; our own claim comes first if the ping contained a claim about us."""
         claims, metadata = self._piggyback(recipient)
         own_id = self._local.instance_id
-        if any(claim.life == own_id for claim in ping.claims):
-            others = (claim for claim in claims if claim.life != own_id)
+        if any(claim.instance_id == own_id for claim in ping.claims):
+            others = (claim for claim in claims if claim.instance_id != own_id)
             claims = [self._local.claim, *others][:MAX_CLAIMS]
         self._outbox.send(address, Ack(ping.number, own_id, claims, metadata))
 
--- a/cairnvane/membership/evidence.py
+++ b/cairnvane/membership/evidence.py
@@ -50,8 +50,8 @@
     simultaneous. Both are in microseconds.
     """
     failed = _failed_without_successor(own, table)
-    silent = {record.claim.life for record in failed}
-    silent.update(record.claim.life for record in table.with_status(Status.SUSPECT))
+    silent = {record.claim.instance_id for record in failed}
+    silent.update(record.claim.instance_id for record in table.with_status(Status.SUSPECT))
     still_lost = {instance_id: at for instance_id, at in lost_at.items() if instance_id in silent}
     lost_at_once = max_concurrent(list(still_lost.values()), loss_window)
     alive = table.with_status(Status.ALIVE)
--- a/cairnvane/membership/gossip.py
+++ b/cairnvane/membership/gossip.py
@@ -35,7 +35,7 @@
 
     def add(self, claim: Claim) -> None:
         """Queue a claim, replacing any earlier one about the same instance."""
-        self.drop(claim.life)
+        self.drop(claim.instance_id)
         self._put(0, claim)
         if len(self._level_of) > MAX_QUEUED_CLAIMS:
             self._drop_most_sent()
@@ -47,8 +47,8 @@
     def _put(self, level: int, claim: Claim) -> None:
         while len(self._levels) <= level:
             self._levels.append({})
-        self._levels[level][claim.life] = claim
-        self._level_of[claim.life] = level
+        self._levels[level][claim.instance_id] = claim
+        self._level_of[claim.instance_id] = level
 
     def drop(self, instance_id: int) -> None:
         """Remove the queued claim about this instance."""
@@ -65,8 +65,8 @@
         picked = self._least_sent(max_count, first)
         limit = transmit_limit(members)
         for claim in picked:
-            next_level = self._level_of[claim.life] + 1
-            self.drop(claim.life)
+            next_level = self._level_of[claim.instance_id] + 1
+            self.drop(claim.instance_id)
             if next_level < limit:
                 self._put(next_level, claim)
         return picked
@@ -79,7 +79,7 @@
             for claim in reversed(claims.values()):
                 if len(picked) >= max_count:
                     break
-                if claim.life != first:
+                if claim.instance_id != first:
                     picked.append(claim)
         return picked
 
@@ -101,8 +101,8 @@
 
     def add(self, info: Info) -> None:
         """Queue an instance's metadata, replacing its earlier version."""
-        self._waiting.pop(info.life, None)
-        self._waiting[info.life] = _QueuedMetadata(info, 0)
+        self._waiting.pop(info.instance_id, None)
+        self._waiting[info.instance_id] = _QueuedMetadata(info, 0)
 
     def drop(self, instance_id: int) -> None:
         """Remove the queued metadata of this instance."""
--- a/cairnvane/membership/local_member.py
+++ b/cairnvane/membership/local_member.py
@@ -12,12 +12,12 @@
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
-        self.metadata = Info(claim.life, 0, 1, {"phase": int(Phase.JOINING)})
+        self.metadata = Info(claim.instance_id, 0, 1, {"phase": int(Phase.JOINING)})
 
     @property
     def instance_id(self) -> int:
         """The random number that this process drew at its start."""
-        return self.claim.life
+        return self.claim.instance_id
 
     @property
     def has_left(self) -> bool:
@@ -39,7 +39,7 @@
     def publish(self, values: dict[str, Any]) -> None:
         """Replace the metadata with a new version."""
         version = self.metadata.version + 1
-        self.metadata = Info(self.claim.life, self.claim.incarnation, version, values)
+        self.metadata = Info(self.claim.instance_id, self.claim.incarnation, version, values)
 
     def mark_left(self) -> None:
         """Set the own status to left, which is final."""
--- a/cairnvane/membership/member_table.py
+++ b/cairnvane/membership/member_table.py
@@ -81,10 +81,10 @@
 
     def merge(self, claim: Claim, now: int) -> MemberRecord | None:
         """Merge a claim; returns the instance's record if the claim took effect, else None."""
-        record = self.records.get(claim.life)
+        record = self.records.get(claim.instance_id)
         if record is None:
             record = MemberRecord(claim, now)
-            self.records[claim.life] = record
+            self.records[claim.instance_id] = record
             self._add_to_indexes(record)
             return record
         if claim.rank <= record.claim.rank:
@@ -102,18 +102,18 @@
         """Add a record to the indexes."""
         self.version += 1
         claim = record.claim
-        self._by_status[claim.status][claim.life] = record
+        self._by_status[claim.status][claim.instance_id] = record
         if record.is_up:
-            self._up_by_address.setdefault((claim.host, claim.port), {})[claim.life] = record
+            self._up_by_address.setdefault((claim.host, claim.port), {})[claim.instance_id] = record
 
     def _remove_from_indexes(self, record: MemberRecord) -> None:
         """Remove a record from the indexes."""
         claim = record.claim
-        del self._by_status[claim.status][claim.life]
+        del self._by_status[claim.status][claim.instance_id]
         if not record.is_up:
             return
         address = (claim.host, claim.port)
-        del self._up_by_address[address][claim.life]
+        del self._up_by_address[address][claim.instance_id]
         if not self._up_by_address[address]:
             del self._up_by_address[address]
 
@@ -124,7 +124,7 @@
 
     def update_metadata(self, info: Info) -> bool:
         """Merge the metadata of an instance; returns whether it is newer than the known version."""
-        record = self.records.get(info.life)
+        record = self.records.get(info.instance_id)
         if record is None or not metadata_fits(info.metadata):
             return False
         if record.info is not None and info.rank <= record.info.rank:
@@ -157,13 +157,13 @@
         circulates would add the instance again and it would be declared failed once more.
         """
         tombstones = [*self.with_status(Status.FAILED), *self.with_status(Status.LEFT)]
-        expired = {record.claim.life for record in tombstones if now - record.status_since > retention}
+        expired = {record.claim.instance_id for record in tombstones if now - record.status_since > retention}
         by_name: dict[str, list[MemberRecord]] = {}
         for record in tombstones:
             by_name.setdefault(record.claim.name, []).append(record)
         for records in by_name.values():
             oldest_first = sorted(records, key=lambda record: record.status_since)
-            expired.update(record.claim.life for record in oldest_first[:-max_per_name])
+            expired.update(record.claim.instance_id for record in oldest_first[:-max_per_name])
         for instance_id in expired:
             self.drop(instance_id)
         return sorted(expired)
--- a/cairnvane/membership/snapshot.py
+++ b/cairnvane/membership/snapshot.py
@@ -47,7 +47,9 @@
     """Copy the state of a member; must be called in the thread that drives it."""
     own_metadata = member.metadata.metadata
     own_phase = Phase(own_metadata.get("phase", 0))
-    records = sorted(member.table.records.values(), key=lambda record: (record.claim.name, record.claim.life))
+    records = sorted(
+        member.table.records.values(), key=lambda record: (record.claim.name, record.claim.instance_id)
+    )
     members = tuple(
         _member_view(
             record.claim,
@@ -72,7 +74,7 @@
 def _member_view(claim: Claim, phase: Phase, heard_ms: int | None, metadata: dict[str, Any]) -> MemberView:
     return MemberView(
         name=claim.name,
-        life=f"{claim.life:016x}",
+        life=f"{claim.instance_id:016x}",
         place=claim.place,
         address=f"{claim.host}:{claim.port}",
         status=STATUSES[claim.status],
--- a/cairnvane/membership/state_exchange.py
+++ b/cairnvane/membership/state_exchange.py
@@ -100,7 +100,7 @@
             if not self._table.up_at((record.claim.host, record.claim.port))
         ]
         if failed:
-            target = self._random.choice(failed).claim.life
+            target = self._random.choice(failed).claim.instance_id
             self._dissemination.send_ping(target, self._dissemination.next_number())
 
     def _contact_missing_address(self) -> None:
@@ -118,11 +118,11 @@
     def views(self, answer: bool) -> list[View]:
         """The whole state, split into messages; `answer` asks the peer to send its own."""
         claims = [self._local.claim, *(record.claim for record in self._table.records.values())]
-        metadata_of = {record.claim.life: record.info for record in self._table.records.values()}
+        metadata_of = {record.claim.instance_id: record.info for record in self._table.records.values()}
         metadata_of[self._local.instance_id] = self._local.metadata
         views = []
         for start in range(0, len(claims), MEMBERS_PER_VIEW):
             part = claims[start : start + MEMBERS_PER_VIEW]
-            metadata = [info for claim in part if (info := metadata_of[claim.life]) is not None]
+            metadata = [info for claim in part if (info := metadata_of[claim.instance_id]) is not None]
             views.append(View(answer and start == 0, part, metadata))
         return views
--- a/cairnvane/membership/suspicion.py
+++ b/cairnvane/membership/suspicion.py
@@ -62,7 +62,7 @@
         record.final_pings = 0
         deciders_share = EXPECTED_DECIDERS / (len(self._table.records) + 1)
         record.decides_suspicion = self._random.random() < deciders_share
-        self._partition.record_loss(record.claim.life, now)
+        self._partition.record_loss(record.claim.instance_id, now)
 
     def declare_failed(self, record: MemberRecord, now: int) -> None:
         """Declare a member failed and report it with the evidence."""
@@ -111,7 +111,7 @@
         else:
             record.final_pings += 1
             record.final_ping_at = now
-            self._dissemination.send_ping(record.claim.life, self._dissemination.next_number())
+            self._dissemination.send_ping(record.claim.instance_id, self._dissemination.next_number())
 
     def _extend(self, record: MemberRecord, now: int) -> None:
         """Restart the timeout of a suspect that was heard, so is up; the suspect refutes the claim itself."""
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -170,7 +170,7 @@
         If a `View` asks for an answer, the driver sends it, with the result of `state_messages`.
         """
         actions = self._outbox.begin_step()
-        if sender == self.own.life or self._local.has_left:
+        if sender == self.own.instance_id or self._local.has_left:
             return []
         if not isinstance(message, View) and not self._accepts(sender, number):
             return []
@@ -222,7 +222,7 @@
             self._detector.on_nack(message)
 
     def _on_ping(self, sender: int, source: Address, message: Ping) -> None:
-        if message.target != self.own.life:
+        if message.target != self.own.instance_id:
             self.counts.unknown += 1
             self._dissemination.send_identity(source, message)
             return
@@ -231,14 +231,14 @@
     def _merge_piggybacked(self, now: int, claims: list[Claim], metadata: list[Info]) -> None:
         """Merge the claims and metadata of a message."""
         for claim in claims:
-            if claim.life == self.own.life:
+            if claim.instance_id == self.own.instance_id:
                 self._refute_claim(claim)
             elif is_valid_claim(claim):
                 self._merger.merge(claim, now)
             else:
                 self.counts.insane += 1
         for info in metadata:
-            if info.life != self.own.life and self.table.update_metadata(info):
+            if info.instance_id != self.own.instance_id and self.table.update_metadata(info):
                 self._dissemination.metadata.add(info)
 
     def _refute_claim(self, claim: Claim) -> None:
--- a/cairnvane/membership/transport.py
+++ b/cairnvane/membership/transport.py
@@ -228,7 +228,7 @@
 
     def _sealed(self, message: Message) -> bytes:
         self._last_number += 1
-        return seal(self._key, self._member.own.life, self._last_number, message)
+        return seal(self._key, self._member.own.instance_id, self._last_number, message)
 
     def _framed_state(self, answer: bool) -> bytes:
         return frame([self._sealed(view) for view in self._member.state_messages(answer)])
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -72,11 +72,13 @@
 
     def _another_key(self) -> bytes:
         claim = self._rng.choice(self._claims)
-        return seal(OTHER_KEY, claim.life, self._rng.getrandbits(40), Ping(1, claim.life, [claim]))
+        return seal(
+            OTHER_KEY, claim.instance_id, self._rng.getrandbits(40), Ping(1, claim.instance_id, [claim])
+        )
 
     def _sealed(self, body: bytes) -> bytes:
         """Any body under the right key, which no member would send."""
-        life = self._rng.choice(self._claims).life
+        life = self._rng.choice(self._claims).instance_id
         return seal(KEY, life, next(self._numbers), msgspec.Raw(body))  # type: ignore[arg-type]
 
     def _sealed_noise(self) -> bytes:
@@ -113,10 +115,12 @@
             {"incarnation": -1},
             {"incarnation": 1 << 40},
         ]
-        claim = msgspec.structs.replace(member, **({"life": rng.getrandbits(62)} | rng.choice(wrong)))
-        info = Info(member.life, 1 << 30, 1 << 30, {f"k{n}": "v" * 20 for n in range(40)})
+        claim = msgspec.structs.replace(member, **({"instance_id": rng.getrandbits(62)} | rng.choice(wrong)))
+        info = Info(member.instance_id, 1 << 30, 1 << 30, {f"k{n}": "v" * 20 for n in range(40)})
         kind = rng.choice((Ping, Ack, Ask))
-        return seal(KEY, member.life, next(self._numbers), kind(rng.getrandbits(40), 1, [claim], [info]))
+        return seal(
+            KEY, member.instance_id, next(self._numbers), kind(rng.getrandbits(40), 1, [claim], [info])
+        )
 
 
 @dataclass
@@ -165,7 +169,7 @@
 
 def _accepted_pings(member: SwimMember, claims: list[Claim]) -> list[bytes]:
     return [
-        seal(KEY, claim.life, number, Ping(number, member.own.life, [claim]))
+        seal(KEY, claim.instance_id, number, Ping(number, member.own.instance_id, [claim]))
         for number in range(1, ACCEPTED_PINGS + 1)
         for claim in claims
     ]
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -15,11 +15,11 @@
 
 def why_unstable(members: dict[int, SwimMember]) -> str:
     """Why these members have not come to rest; empty if they have."""
-    lives = {member.own.life for member in members.values()}
+    lives = {member.own.instance_id for member in members.values()}
     for number, member in members.items():
         seen = set(member.table.up)
-        if seen != lives - {member.own.life}:
-            missing = sorted(lives - seen - {member.own.life})
+        if seen != lives - {member.own.instance_id}:
+            missing = sorted(lives - seen - {member.own.instance_id})
             ghosts = sorted(seen - lives)
             return f"at rest n{number} misses {missing}, and sees {ghosts} for nothing"
         if member.table.count(Status.SUSPECT) or len(member._claim_queue):
@@ -32,7 +32,7 @@
 def suspects_of(member: SwimMember) -> dict[int, Address]:
     """The addresses of all members that this one suspects, by process id."""
     return {
-        life.claim.life: (life.claim.host, life.claim.port)
+        life.claim.instance_id: (life.claim.host, life.claim.port)
         for life in member.table.with_status(Status.SUSPECT)
     }
 
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -18,7 +18,7 @@
             self._claim_queue.add(self.own)
 
     def take_any(self: Table, claim: Claim, now: int) -> Any:
-        if (known := self.records.get(claim.life)) is not None:
+        if (known := self.records.get(claim.instance_id)) is not None:
             self._remove_from_indexes(known)
             known.claim = claim
             self._add_to_indexes(known)
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -64,7 +64,7 @@
         options: Options,
     ) -> None:
         self.member = SwimMember(own, rng, now, contacts=contacts, options=options)
-        self.life = own.life
+        self.life = own.instance_id
         self.next_at, self.tick, self.handle = self.member.next_at, self.member.tick, self.member.handle
 
     def failed(self, life: int) -> bool:
@@ -74,7 +74,7 @@
 
     def sees(self) -> set[int]:
         """The processes that it takes for alive."""
-        return {known.claim.life for known in self.member.up_members()}
+        return {known.claim.instance_id for known in self.member.up_members()}
 
 
 class Heartbeat:
@@ -86,8 +86,8 @@
     PERIODS = 5
 
     def __init__(self, own: Claim, period: int, now: int, peers: Callable[[], dict[int, Address]]) -> None:
-        self.life, self._period, self._peers = own.life, period, peers
-        self._at = now + own.life * 7_919 % period
+        self.life, self._period, self._peers = own.instance_id, period, peers
+        self._at = now + own.instance_id * 7_919 % period
         self._heard: dict[int, int] = {}
 
     def next_at(self) -> int:
@@ -149,7 +149,7 @@
         own = Claim(
             next(self._lives), name or f"n{number}", place or f"p{number}", *_address_of(number), 0, 0
         )
-        rng = random.Random(f"{self.seed} {own.life}")
+        rng = random.Random(f"{self.seed} {own.instance_id}")
         contacts = [_address_of(contact) for contact in range(CONTACTS)]
         player: Player = Swim(own, rng, self.now, contacts, self.options)
         if self.baseline:
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -65,7 +65,7 @@
             tuple(pickle.dumps(member) for member in members),
             (0,) * self.count,
             (),
-            owned=tuple((member.own.life, 0, False) for member in members),
+            owned=tuple((member.own.instance_id, 0, False) for member in members),
         )
         return self.rest(state, REST_US)
 
@@ -115,7 +115,7 @@
                 [action.message] if isinstance(action, Send) else [*member.state_messages(True)]
             )
             for message in messages:
-                envelope = Envelope(action.to, member.own.life, sent + len(out) + 1, source, message)
+                envelope = Envelope(action.to, member.own.instance_id, sent + len(out) + 1, source, message)
                 if not isinstance(message, View):
                     size = len(seal(KEY, envelope.life, envelope.number, message))
                     if size > MAX_DATAGRAM_BYTES:
@@ -135,7 +135,9 @@
         more = self._envelopes(member, sent, out)
         if isinstance(envelope.message, View) and envelope.message.answer:
             more += [
-                Envelope(envelope.source, member.own.life, sent + len(more) + number, envelope.to, view)
+                Envelope(
+                    envelope.source, member.own.instance_id, sent + len(more) + number, envelope.to, view
+                )
                 for number, view in enumerate(member.state_messages(False), start=1)
             ]
         return out, more
@@ -151,10 +153,10 @@
         """The state with this member as it is now, once its invariants are checked."""
         before = load(state.members[number])
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
-        highest, left = owned.get(member.own.life, (0, False))
+        highest, left = owned.get(member.own.instance_id, (0, False))
         if member.own.incarnation < highest and member.own.status != Status.LEFT:
             raise InvariantError(f"n{number} takes its own incarnation back")
-        owned[member.own.life] = (
+        owned[member.own.instance_id] = (
             max(highest, member.own.incarnation),
             left or member.own.status == Status.LEFT,
         )
@@ -282,8 +284,8 @@
             due += [(now + PASS_US, envelope) for envelope in envelopes]
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
         for member in members.values():
-            highest, left = owned.get(member.own.life, (0, False))
-            owned[member.own.life] = max(highest, member.own.incarnation), left
+            highest, left = owned.get(member.own.instance_id, (0, False))
+            owned[member.own.instance_id] = max(highest, member.own.incarnation), left
         all_members = tuple(
             pickle.dumps(members[number]) if number in members else state.members[number]
             for number in range(self.count)
--- a/tests/membership/test_member_claims.py
+++ b/tests/membership/test_member_claims.py
@@ -80,7 +80,7 @@
     assert transmissions == MAX_QUEUED_CLAIMS * transmit_limit(12)
     queue.add(make_claim(7, 1))
     queue.add(make_claim(8, 1))
-    assert queue.pick(2, 12, first=7)[0].life == 7
+    assert queue.pick(2, 12, first=7)[0].instance_id == 7
 
 
 @pytest.mark.parametrize(
@@ -100,7 +100,7 @@
     known = set(member.table.records)
     valid_claim = Claim(55, "n5", "p5", "10.0.0.1", 5, 0, 0)
     invalid_claim = msgspec.structs.replace(valid_claim, **invalid_fields)
-    member.handle(world.now, 77, 1, ("h", 9), Ping(3, member.own.life, [invalid_claim]))
+    member.handle(world.now, 77, 1, ("h", 9), Ping(3, member.own.instance_id, [invalid_claim]))
     assert set(member.table.records) == known and member.counts.insane == 1
-    member.handle(world.now, 77, 2, ("h", 9), Ping(3, member.own.life, [valid_claim]))
+    member.handle(world.now, 77, 2, ("h", 9), Ping(3, member.own.instance_id, [valid_claim]))
     assert set(member.table.records) == known | {55}
--- a/tests/membership/test_member_envelope.py
+++ b/tests/membership/test_member_envelope.py
@@ -73,7 +73,7 @@
     member = member_of(world, 0)
     views = member.state_messages(True)
     assert [view.answer for view in views] == [True, False]
-    instance_ids = [claim.life for view in views for claim in view.claims]
+    instance_ids = [claim.instance_id for view in views for claim in view.claims]
     assert len(instance_ids) == len(set(instance_ids)) == 80
 
 
@@ -82,6 +82,6 @@
     member = member_of(world, 0)
     actions = member.handle(world.now, 77, 1, ("h", 9), Ping(3, 12_345))
     (sent,) = [action for action in actions if isinstance(action, Send)]
-    assert isinstance(sent.message, Ack) and sent.message.target == member.own.life
+    assert isinstance(sent.message, Ack) and sent.message.target == member.own.instance_id
     assert member.handle(world.now, 77, 1, ("h", 9), Ping(3, 12_345)) == [] and member.counts.replayed == 1
-    assert member.handle(world.now, member.own.life, 2, ("h", 9), View(False)) == []
+    assert member.handle(world.now, member.own.instance_id, 2, ("h", 9), View(False)) == []
--- a/tests/membership/test_network_partitions.py
+++ b/tests/membership/test_network_partitions.py
@@ -69,8 +69,8 @@
     member = member_of(world, 0)
     before = member.assessment
     replaced = next(record for record in member.up_members() if record.claim.name == "n2")
-    member.table.drop(replaced.claim.life)
-    member.table.merge(msgspec.structs.replace(replaced.claim, life=99, name="n9"), world.now)
+    member.table.drop(replaced.claim.instance_id)
+    member.table.merge(msgspec.structs.replace(replaced.claim, instance_id=99, name="n9"), world.now)
     member.table.records[99].last_heard_at = replaced.last_heard_at
     member.tick(world.now)
     assert (member.assessment.min_members, member.assessment.max_members) == (
