--- a/cairnvane/membership/local_health.py
+++ b/cairnvane/membership/local_health.py
@@ -26,7 +26,7 @@
 # With several concurrent suspects, all timeouts are multiplied by a factor that rises by one for each further
 # tenth of the cluster (or two members, if that is more), up to the maximum. The path to all of them may be
 # bad, and their refutations take the same path.
-CONCURRENT_FLEET_SHARE = 0.1
+CONCURRENT_CLUSTER_SHARE = 0.1
 CONCURRENT_MIN_MEMBERS = 2
 CONCURRENT_MAX_FACTOR = 3.0
 # Upper limit of a timeout in multiples of the configured minimum, whatever the score, so that a member that
@@ -48,7 +48,7 @@
 
 def concurrent_suspects_factor(suspects: int, members: int) -> float:
     """Factor by which this number of concurrent suspects lengthens timeouts."""
-    members_per_step = max(CONCURRENT_MIN_MEMBERS, CONCURRENT_FLEET_SHARE * members)
+    members_per_step = max(CONCURRENT_MIN_MEMBERS, CONCURRENT_CLUSTER_SHARE * members)
     further_suspects = max(0, suspects - 1)
     return min(CONCURRENT_MAX_FACTOR, 1 + further_suspects / members_per_step)
 
