--- a/benchmarks/members_rumours.py
+++ b/benchmarks/members_rumours.py
@@ -11,7 +11,7 @@
 
 import table
 
-from cairnvane.membership.gossip import Rumours, tells
+from cairnvane.membership.gossip import ClaimQueue, tells
 from cairnvane.membership.member_table import Claim
 
 MEMBERS = 1_000
@@ -28,21 +28,21 @@
 
     def add(self, claim: Claim) -> None:
         self._count += 1
-        self._waiting[claim.life] = (0, self._count, claim)
+        self._waiting[claim.instance_id] = (0, self._count, claim)
 
     def pick(self, most: int, members: int) -> list[Claim]:
         entries = heapq.nsmallest(most, self._waiting.values(), key=lambda entry: (entry[0], -entry[1]))
         picked = [claim for _, _, claim in entries]
         for claim in picked:
-            times_sent, age, _ = self._waiting[claim.life]
+            times_sent, age, _ = self._waiting[claim.instance_id]
             if times_sent + 1 >= tells(members):
-                del self._waiting[claim.life]
+                del self._waiting[claim.instance_id]
             else:
-                self._waiting[claim.life] = (times_sent + 1, age, claim)
+                self._waiting[claim.instance_id] = (times_sent + 1, age, claim)
         return picked
 
 
-def cost_us(kind: type[Plain] | type[Rumours], waiting: int) -> float:
+def cost_us(kind: type[Plain] | type[ClaimQueue], waiting: int) -> float:
     """Microseconds a selection."""
     rumours = kind()
     claims = [Claim(life, "n", "p", "10.0.0.1", 1, 0, 0) for life in range(1, waiting + 1)]
@@ -58,7 +58,7 @@
 def main() -> None:
     """Measure both at all sizes, in one run."""
     rows = [
-        [float(waiting), cost_us(Plain, waiting), cost_us(Rumours, waiting)] for waiting in (1, 8, 64, 512)
+        [float(waiting), cost_us(Plain, waiting), cost_us(ClaimQueue, waiting)] for waiting in (1, 8, 64, 512)
     ]
     table.show("a pick and an add", ["waiting", "plain, us", "levels, us"], rows)
 
--- a/cairnvane/membership/snapshot.py
+++ b/cairnvane/membership/snapshot.py
@@ -26,28 +26,30 @@
     status: str
     phase: str
     incarnation: int
-    heard_ms: int | None  # ago; None: never
-    told: dict[str, Any]  # its metadata
+    heard_ms: int | None  # time since it was last heard; None: never
+    told: dict[str, Any]  # its published metadata
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipSnapshot:
-    """All that a consumer may read; never changed once it is made."""
+    """The state of one member for its consumers; never modified after creation."""
 
     own: MemberView
     members: tuple[MemberView, ...]
     assessment: Assessment
     taken_at: int  # microseconds of the monotonic clock
     health_score: int
-    ping_loss: float  # of pings of members that are up
+    ping_loss: float  # share of lost pings to members that are up
     counts: dict[str, int]
 
 
 def take_snapshot(member: SwimMember, transport_counts: Mapping[str, int], now: int) -> MembershipSnapshot:
-    """Copy the state of a member; in the thread that drives it."""
+    """Copy the state of a member; must be called in the thread that drives it."""
     own_metadata = member.metadata.metadata
     own_phase = Phase(own_metadata.get("phase", 0))
-    records = sorted(member.table.lives.values(), key=lambda record: (record.claim.name, record.claim.life))
+    records = sorted(
+        member.table.records.values(), key=lambda record: (record.claim.name, record.claim.instance_id)
+    )
     members = tuple(
         _member_view(
             record.claim,
@@ -72,7 +74,7 @@
 def _member_view(claim: Claim, phase: Phase, heard_ms: int | None, metadata: dict[str, Any]) -> MemberView:
     return MemberView(
         name=claim.name,
-        life=f"{claim.life:016x}",
+        life=f"{claim.instance_id:016x}",
         place=claim.place,
         address=f"{claim.host}:{claim.port}",
         status=STATUSES[claim.status],
@@ -83,7 +85,7 @@
     )
 
 
-def described(snapshot: MembershipSnapshot) -> dict[str, Any]:
+def snapshot_as_json(snapshot: MembershipSnapshot) -> dict[str, Any]:
     """The JSON form, for the administration endpoint and the command line."""
     assessment = snapshot.assessment
     return {
--- a/cairnvane/membership/swim.py
+++ b/cairnvane/membership/swim.py
@@ -1,12 +1,12 @@
-"""One member of the cluster: what it does with each message and at each time. No I/O, no clock.
+"""One member of the cluster: handles messages and timers, and returns actions. No I/O, no clock.
 
-SWIM's pings and gossip, suspicion before a member is declared failed with Lifeguard's local health, exchanges
-of whole states now and then, and pings of failed members, so that the two sides of a partition find each
-other again once it heals. The driver calls `handle` with messages as they come, and `tick` no later than
-`next_at` says; all chance comes from the random source that is handed in.
+The protocol combines the pings and gossip of SWIM, suspicion with the local health of Lifeguard before a
+member is declared failed, periodic exchanges of whole states, and pings of failed members, so that the two
+sides of a partition reconnect after it heals. The driver calls `handle` for each received message, and `tick`
+no later than `next_at`; all randomness comes from the random source passed in.
 
-`SwimMember` fixes the order of steps. The parts own their state: `failure_detector`, `suspicion`,
-`claim_merger`, `dissemination`, `partition_monitor`, `state_exchange`.
+`SwimMember` determines the order of the steps. The components own their state: `failure_detector`,
+`suspicion`, `claim_merger`, `dissemination`, `partition_monitor`, `state_exchange`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from .actions import Action, Address, Exchange, Send, Tell
+from .actions import Action, Address, Exchange, ReportEvent, Send
 from .claim_merger import ClaimMerger
 from .claims import Claim, Info, Phase, Status, is_valid_claim
 from .context import MemberContext
@@ -23,7 +23,7 @@
 from .envelope import ReplayWindow
 from .evidence import ExternalSignals
 from .failure_detector import FailureDetector
-from .local_health import checks
+from .local_health import required_final_pings
 from .local_member import LocalMember
 from .member_table import MemberRecord
 from .messages import Ack, Ask, Message, Nack, Ping, View
@@ -34,16 +34,16 @@
 from .state_exchange import StateExchange
 from .suspicion import Suspicions
 
-__all__ = ["Action", "Address", "Counts", "Exchange", "Options", "Send", "SwimMember", "Tell"]
+__all__ = ["Action", "Address", "Counts", "Exchange", "Options", "Send", "SwimMember", "ReportEvent"]
 
-# A member that leaves says so to this many times the helpers of an indirect ping.
-FAREWELLS_PER_HELPER = 3
-# By how much a member trusts itself less after it was held up.
+# A member that leaves notifies this many times the number of helpers of an indirect ping.
+LEAVE_MESSAGES_PER_HELPER = 3
+# Points added to the local health score after this process was stalled.
 HELD_UP_PENALTY = 2
 
 
 class SwimMember:
-    """Coordinates the parts of one member; see the module."""
+    """Coordinates the components of one member; see the module documentation."""
 
     def __init__(
         self,
@@ -53,9 +53,9 @@
         *,
         contacts: Iterable[Address] = (),
         options: Options | None = None,
-        spares: int = 0,
+        spare_ports: int = 0,
     ) -> None:
-        """`spares`: a contact may be found at so many ports above its own, if a new version took over."""
+        """`spare_ports`: number of ports above a contact's own at which a new version of it may listen."""
         self.options = options or Options()
         self._local = LocalMember(own)
         context = MemberContext(self.options, self._local, rng)
@@ -65,8 +65,8 @@
         self.external_signals = ExternalSignals()
         self._outbox = context.outbox
         self._dissemination = Dissemination(context)
-        self._rumours = self._dissemination.claims
-        self._numbers: dict[int, ReplayWindow] = {}  # by sending instance
+        self._claim_queue = self._dissemination.claims
+        self._replay_windows: dict[int, ReplayWindow] = {}  # by sending instance
         self._partition = PartitionMonitor(context, now)
         self._suspicions = Suspicions(context, self._dissemination, self._partition, now)
         self._detector = FailureDetector(context, self._dissemination, self._suspicions, now)
@@ -77,26 +77,26 @@
             self._partition,
             self._detector.schedule,
         )
-        self._state_exchange = StateExchange(context, self._dissemination, now, contacts, spares)
+        self._state_exchange = StateExchange(context, self._dissemination, now, contacts, spare_ports)
         self._last_tick_at = now
         self._event_loop_responsive = True
         self._dissemination.metadata.add(self.metadata)
 
-    # --- for its consumers
+    # --- state for consumers, and changes to it
 
     @property
     def own(self) -> Claim:
-        """What this member claims of itself."""
+        """This member's claim about itself."""
         return self._local.claim
 
     @property
     def metadata(self) -> Info:
-        """What this member publishes about itself."""
+        """The metadata that this member publishes."""
         return self._local.metadata
 
     @property
     def partition_detector(self) -> PartitionDetector:
-        """What assesses whether this member is cut off."""
+        """Assesses whether this member is partitioned off."""
         return self._partition.detector
 
     @property
@@ -106,38 +106,38 @@
 
     @property
     def assessment(self) -> Assessment:
-        """What consumers may rely on."""
+        """The current assessment of the cluster, which consumers may rely on."""
         return self._partition.detector.assessment
 
-    def there(self) -> list[MemberRecord]:
-        """Members taken for alive, this one not among them."""
+    def up_members(self) -> list[MemberRecord]:
+        """Records of alive and suspected members, without this one."""
         return self.table.up_records()
 
-    def carry(self, told: dict[str, Any]) -> None:
-        """Publish these values from now on, beside those published before; `ValueError` if too large."""
-        values = self._local.merged_metadata(told)
+    def publish_metadata(self, values_to_add: dict[str, Any]) -> None:
+        """Add or replace published metadata values; raises `ValueError` if they exceed the limits."""
+        values = self._local.merged_metadata(values_to_add)
         if values != self.metadata.metadata:
             self._publish(values)
 
-    def phase(self, phase: Phase) -> None:
-        """Publish that this member is joining, serving, draining or leaving."""
-        self.carry({"phase": int(phase)})
+    def publish_phase(self, phase: Phase) -> None:
+        """Publish the lifecycle phase of this member."""
+        self.publish_metadata({"phase": int(phase)})
 
     def leave(self, now: int) -> list[Action]:
-        """Announce to some members at once that this one leaves, so that nobody suspects it."""
-        self.phase(Phase.LEAVING)
+        """Notify some members at once that this one leaves, so that no member suspects it."""
+        self.publish_phase(Phase.LEAVING)
         self._local.mark_left()
-        self._rumours.add(self.own)
-        recipient_count = FAREWELLS_PER_HELPER * self.options.helpers
+        self._claim_queue.add(self.own)
+        recipient_count = LEAVE_MESSAGES_PER_HELPER * self.options.helpers
         recipients = self._detector.schedule.pick_helpers(self.table.up, 0, recipient_count)
         dissemination = self._dissemination
         return [
-            Send(dissemination.address_of(recipient), dissemination.farewell(recipient))
+            Send(dissemination.address_of(recipient), dissemination.leave_message(recipient))
             for recipient in recipients
         ]
 
     def next_at(self) -> int:
-        """When `tick` is wanted at the latest."""
+        """The latest time for the next call of `tick`."""
         if self._local.has_left:
             return self._last_tick_at + self.options.exchange_interval
         times = self._detector.due_times()
@@ -145,15 +145,15 @@
         times += self._suspicions.due_times(self._final_pings_needed())
         return max(min(times), self._last_tick_at + 1)
 
-    # --- what happens
+    # --- input from the driver
 
     def tick(self, now: int) -> list[Action]:
-        """Do whatever is due. A member that has left does nothing more."""
+        """Do all work that is due. A member that has left does nothing."""
         actions = self._outbox.begin_step()
         if self._local.has_left:
             self._last_tick_at = now
             return actions
-        delay = now - self.next_at()  # behind what was due, whatever was heard meanwhile
+        delay = now - self.next_at()  # behind the due time, regardless of messages received since
         self._last_tick_at = now
         if delay > self.options.max_tick_delay:
             self._resume_after_delay(now, delay)
@@ -164,47 +164,49 @@
         self._partition.tick(now, self.external_signals)
         return actions
 
-    def handle(self, now: int, life: int, number: int, source: Address, message: Message) -> list[Action]:
-        """Take a message that was opened, from this instance under this number.
+    def handle(self, now: int, sender: int, number: int, source: Address, message: Message) -> list[Action]:
+        """Handle an opened message from the instance `sender`, with its message number.
 
-        A `View` that asks for an answer gets it from the driver, out of `whole`.
+        If a `View` asks for an answer, the driver sends it, with the result of `state_messages`.
         """
         actions = self._outbox.begin_step()
-        if life == self.own.life or self._local.has_left:
+        if sender == self.own.instance_id or self._local.has_left:
             return []
-        if not isinstance(message, View) and not self._accepts(life, number):
+        if not isinstance(message, View) and not self._accepts(sender, number):
             return []
-        self._mark_heard(life, now)
+        self._mark_heard(sender, now)
         if not isinstance(message, Nack):
-            self._learn(now, message.claims, message.infos)
-        self._dispatch(now, life, source, message)
-        record = self._mark_heard(life, now)
+            self._merge_piggybacked(now, message.claims, message.infos)
+        self._dispatch(now, sender, source, message)
+        record = self._mark_heard(sender, now)
         if record is not None:
             self._merger.replace_predecessors(record, source, now)
         return actions
 
-    def whole(self, answer: bool) -> list[View]:
-        """The whole state in messages; `answer`: the peer is to send its own."""
+    def state_messages(self, answer: bool) -> list[View]:
+        """The whole state, split into messages; `answer` asks the peer to send its own."""
         return self._state_exchange.views(answer)
 
-    def tend(self) -> None:
-        """Drop the replay windows of senders that are not in the table: only those can be replayed."""
-        unknown = [instance_id for instance_id in self._numbers if instance_id not in self.table.lives]
+    def drop_unknown_replay_windows(self) -> None:
+        """Drop the replay windows of unknown senders; after that, only their datagrams can be replayed."""
+        unknown = [
+            instance_id for instance_id in self._replay_windows if instance_id not in self.table.records
+        ]
         for instance_id in unknown:
-            del self._numbers[instance_id]
+            del self._replay_windows[instance_id]
 
     # --- messages
 
     def _accepts(self, sender: int, number: int) -> bool:
-        """Whether a datagram is neither a replay nor from an instance that has left."""
-        window = self._numbers.setdefault(sender, ReplayWindow())
+        """Whether to handle a datagram: it is not a replay, and its sender has not left."""
+        window = self._replay_windows.setdefault(sender, ReplayWindow())
         if not window.accept(number):
             self.counts.replayed += 1
             return False
         return not self._merger.has_left(sender)
 
     def _mark_heard(self, sender: int, now: int) -> MemberRecord | None:
-        record = self.table.lives.get(sender)
+        record = self.table.records.get(sender)
         if record is not None:
             record.last_heard_at = now
         return record
@@ -220,33 +222,33 @@
             self._detector.on_nack(message)
 
     def _on_ping(self, sender: int, source: Address, message: Ping) -> None:
-        if message.target != self.own.life:
+        if message.target != self.own.instance_id:
             self.counts.unknown += 1
             self._dissemination.send_identity(source, message)
             return
         self._dissemination.send_ack(sender, source, message)
 
-    def _learn(self, now: int, claims: list[Claim], metadata: list[Info]) -> None:
-        """Merge what rides on a message."""
+    def _merge_piggybacked(self, now: int, claims: list[Claim], metadata: list[Info]) -> None:
+        """Merge the claims and metadata of a message."""
         for claim in claims:
-            if claim.life == self.own.life:
-                self._told_of_us(claim)
+            if claim.instance_id == self.own.instance_id:
+                self._refute_claim(claim)
             elif is_valid_claim(claim):
                 self._merger.merge(claim, now)
             else:
                 self.counts.insane += 1
         for info in metadata:
-            if info.life != self.own.life and self.table.update_metadata(info):
+            if info.instance_id != self.own.instance_id and self.table.update_metadata(info):
                 self._dissemination.metadata.add(info)
 
-    def _told_of_us(self, claim: Claim) -> None:
+    def _refute_claim(self, claim: Claim) -> None:
         """Refute a wrong claim about this member."""
         if not self._local.needs_refutation(claim):
             return
         self.counts.refuted += 1
         self.health.degrade()
         self._local.refute(claim)
-        self._rumours.add(self.own)
+        self._claim_queue.add(self.own)
         self._publish(dict(self.metadata.metadata))
         status_name = Status(claim.status).name.lower()
         self._outbox.report("member.refuted", self.own, by=claim.by, was=status_name)
@@ -255,23 +257,23 @@
         self._local.publish(values)
         self._dissemination.metadata.add(self.metadata)
 
-    # --- time
+    # --- timers
 
     def _final_pings_needed(self) -> int:
-        """How many pings a suspect gets before it is declared failed."""
-        return checks(self.health.score, self.ping_loss.attempts_needed())
+        """Number of pings to a suspect before it is declared failed."""
+        return required_final_pings(self.health.score, self.ping_loss.attempts_needed())
 
     def _resume_after_delay(self, now: int, delay: int) -> None:
-        """This process stood still: what is due by the clock is not due by what it could have heard."""
+        """Restart pings and suspicion timeouts, since a stalled process could not receive answers."""
         self.counts.held_up += 1
         self.health.degrade(HELD_UP_PENALTY)
         self._suspicions.delay_verdicts(now)
         self._detector.restart(now)
-        self._state_exchange.hasten(now + self.options.ack_timeout)
+        self._state_exchange.exchange_by(now + self.options.ack_timeout)
         self._outbox.report("member.held_up", self.own, late_us=delay)
 
     def _check_event_loop(self) -> None:
-        """An event loop that stands still serves nobody, though this member still answers for it."""
+        """Degrade local health while the event loop is unresponsive; this thread still answers pings."""
         responsive = self.external_signals.event_loop_responsive is not False
         if not responsive:
             self.health.degrade()
@@ -280,18 +282,18 @@
             self._outbox.report("member.host_works" if responsive else "member.host_held_up", self.own)
 
     def _maintain_membership(self, now: int) -> None:
-        """Join, exchange states, look for failed members, and forget those that are long gone."""
+        """Join, exchange states, contact failed members, and remove expired tombstones."""
         self._state_exchange.join_if_due(now)
         if self.table.up and self._local.is_joining:
-            self.phase(Phase.SERVING)
+            self.publish_phase(Phase.SERVING)
         self._state_exchange.exchange_if_due(now)
         if self._state_exchange.revisit_is_due(now):
             self._revisit(now)
             self._remove_expired(now)
-            self.tend()
+            self.drop_unknown_replay_windows()
 
     def _revisit(self, now: int) -> None:
-        """Look for a member that was declared failed, or for one that nobody knows any more."""
+        """Contact members that were declared failed, or configured contacts where no member is up."""
         self._state_exchange.revisit()
 
     def _remove_expired(self, now: int) -> None:
--- a/cairnvane/server/member_setup.py
+++ b/cairnvane/server/member_setup.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from ..config.operator import MembersOptions
     from ..exchange import RequestSink
-    from ..membership.swim import Tell
+    from ..membership.swim import ReportEvent
     from ..membership.transport import MemberTransport
 
 logger = logging.getLogger(__name__)
@@ -33,14 +33,16 @@
 
 def check_name(name: str) -> None:
     """Raise a `ConfigurationError` if the server's name is too long for the membership messages."""
-    from ..membership.member_table import MOST_NAME
+    from ..membership.member_table import MAX_NAME_LENGTH
 
-    if len(name) > MOST_NAME:
-        raise config.ConfigurationError(f"members: the name {name!r} is longer than {MOST_NAME} characters")
+    if len(name) > MAX_NAME_LENGTH:
+        raise config.ConfigurationError(
+            f"members: the name {name!r} is longer than {MAX_NAME_LENGTH} characters"
+        )
 
 
-def _log_event(event: Tell) -> None:
-    details = "".join(f" {key}={value}" for key, value in event.more.items())
+def _log_event(event: ReportEvent) -> None:
+    details = "".join(f" {key}={value}" for key, value in event.details.items())
     logger.info(MEMBER_EVENT, event.event.removeprefix("member."), details)
 
 
@@ -73,11 +75,11 @@
         configuration.name,
         "{}:{}".format(*configuration.listen),
         options.contact_addresses,
-        outside=observer.outside,
-        carried=observer.carried,
-        tell=_log_event,
-        ways=options.route_addresses,
-        spares=options.spare_ports,
+        external_signals=observer.external_signals,
+        metadata=observer.metadata,
+        report=_log_event,
+        routes=options.route_addresses,
+        spare_ports=options.spare_ports,
     )
     return Membership(observer, transport)
 
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from ...membership.member_table import Claim, Info, Status
-from ...membership.messages import MOST_BYTES, Ack, Ask, Ping, seal
+from ...membership.messages import MAX_DATAGRAM_BYTES, Ack, Ask, Ping, seal
 from ...membership.swim import SwimMember
 from ...membership.transport import MemberTransport
 from ..stand_ins.sockets import HOST
@@ -51,7 +51,7 @@
         self._numbers = itertools.count(1_000)  # none of which was used before
         self.kinds: dict[str, Callable[[], bytes]] = {
             "noise": lambda: rng.randbytes(rng.randrange(0, 200)),
-            "oversized": lambda: rng.randbytes(MOST_BYTES + rng.randrange(1, 100)),
+            "oversized": lambda: rng.randbytes(MAX_DATAGRAM_BYTES + rng.randrange(1, 100)),
             "torn": self._torn,
             "flipped": self._flipped,
             "another key": self._another_key,
@@ -72,11 +72,13 @@
 
     def _another_key(self) -> bytes:
         claim = self._rng.choice(self._claims)
-        return seal(OTHER_KEY, claim.life, self._rng.getrandbits(40), Ping(1, claim.life, [claim]))
+        return seal(
+            OTHER_KEY, claim.instance_id, self._rng.getrandbits(40), Ping(1, claim.instance_id, [claim])
+        )
 
     def _sealed(self, body: bytes) -> bytes:
         """Any body under the right key, which no member would send."""
-        life = self._rng.choice(self._claims).life
+        life = self._rng.choice(self._claims).instance_id
         return seal(KEY, life, next(self._numbers), msgspec.Raw(body))  # type: ignore[arg-type]
 
     def _sealed_noise(self) -> bytes:
@@ -113,10 +115,12 @@
             {"incarnation": -1},
             {"incarnation": 1 << 40},
         ]
-        claim = msgspec.structs.replace(member, **({"life": rng.getrandbits(62)} | rng.choice(wrong)))
-        info = Info(member.life, 1 << 30, 1 << 30, {f"k{n}": "v" * 20 for n in range(40)})
+        claim = msgspec.structs.replace(member, **({"instance_id": rng.getrandbits(62)} | rng.choice(wrong)))
+        info = Info(member.instance_id, 1 << 30, 1 << 30, {f"k{n}": "v" * 20 for n in range(40)})
         kind = rng.choice((Ping, Ack, Ask))
-        return seal(KEY, member.life, next(self._numbers), kind(rng.getrandbits(40), 1, [claim], [info]))
+        return seal(
+            KEY, member.instance_id, next(self._numbers), kind(rng.getrandbits(40), 1, [claim], [info])
+        )
 
 
 @dataclass
@@ -154,7 +158,7 @@
 
 def _snapshot(member: SwimMember) -> dict[int, tuple[Any, ...]]:
     """All that a datagram could change in what the member knows."""
-    return {life: (known.claim, known.info) for life, known in member.table.lives.items()} | {
+    return {life: (known.claim, known.info) for life, known in member.table.records.items()} | {
         0: (member.own, sorted(member.table.up), member.table.count(Status.SUSPECT))
     }
 
@@ -165,7 +169,7 @@
 
 def _accepted_pings(member: SwimMember, claims: list[Claim]) -> list[bytes]:
     return [
-        seal(KEY, claim.life, number, Ping(number, member.own.life, [claim]))
+        seal(KEY, claim.instance_id, number, Ping(number, member.own.instance_id, [claim]))
         for number in range(1, ACCEPTED_PINGS + 1)
         for claim in claims
     ]
@@ -186,13 +190,13 @@
         name, generate = kinds[number % len(kinds)]
         datagram = generate()
         try:
-            transport._take(datagram, (HOST, 1), MOST_BYTES)
+            transport._handle_sealed(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
         except Exception as error:
             report.errors.append(f"{name}, {datagram[:40].hex()}: {type(error).__name__} {error}")
         if (number + 1) % PROGRESS_DATAGRAMS == 0:
-            member.tend()
+            member.drop_unknown_replay_windows()
             say(f"{number + 1} datagrams")
-    member.tend()
+    member.drop_unknown_replay_windows()
     report.grown_kb = _peak_memory_kb() - memory_before_kb
 
 
@@ -204,8 +208,8 @@
         for life in sorted(before.keys() | after.keys())
         if before.get(life) != after.get(life)
     ]
-    if len(member._numbers) > len(member.table.lives):
-        changes.append(f"{len(member._numbers)} senders are remembered")
+    if len(member._replay_windows) > len(member.table.records):
+        changes.append(f"{len(member._replay_windows)} senders are remembered")
     return changes
 
 
@@ -218,7 +222,7 @@
     member = transport._member
     accepted = _accepted_pings(member, claims)
     for datagram in accepted:
-        transport._take(datagram, (HOST, 1), MOST_BYTES)
+        transport._handle_sealed(datagram, (HOST, 1), MAX_DATAGRAM_BYTES)
     before = _snapshot(member)
     counts_before = Counter(transport.counts)
     replayed_before = member.counts.replayed
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Sequence
 
-from ...membership.local_health import CHECKS
+from ...membership.local_health import MIN_FINAL_PINGS
 from ...membership.member_table import Status
-from ...membership.swim import Action, Address, SwimMember, Tell
+from ...membership.swim import Action, Address, ReportEvent, SwimMember
 
 
 class InvariantError(Exception):
@@ -15,16 +15,16 @@
 
 def why_unstable(members: dict[int, SwimMember]) -> str:
     """Why these members have not come to rest; empty if they have."""
-    lives = {member.own.life for member in members.values()}
+    lives = {member.own.instance_id for member in members.values()}
     for number, member in members.items():
         seen = set(member.table.up)
-        if seen != lives - {member.own.life}:
-            missing = sorted(lives - seen - {member.own.life})
+        if seen != lives - {member.own.instance_id}:
+            missing = sorted(lives - seen - {member.own.instance_id})
             ghosts = sorted(seen - lives)
             return f"at rest n{number} misses {missing}, and sees {ghosts} for nothing"
-        if member.table.count(Status.SUSPECT) or len(member._rumours):
+        if member.table.count(Status.SUSPECT) or len(member._claim_queue):
             suspects = member.table.count(Status.SUSPECT)
-            rumours = len(member._rumours)
+            rumours = len(member._claim_queue)
             return f"at rest n{number} still suspects {suspects}, and tells {rumours} rumours"
     return ""
 
@@ -32,7 +32,8 @@
 def suspects_of(member: SwimMember) -> dict[int, Address]:
     """The addresses of all members that this one suspects, by process id."""
     return {
-        life.claim.life: (life.claim.host, life.claim.port) for life in member.table.standing(Status.SUSPECT)
+        life.claim.instance_id: (life.claim.host, life.claim.port)
+        for life in member.table.with_status(Status.SUSPECT)
     }
 
 
@@ -41,9 +42,13 @@
 ) -> None:
     """No failure verdict on a suspect without last probes, unless another process answers at its address."""
     for action in out:
-        if isinstance(action, Tell) and action.event == "member.failed" and "probed" in action.more:
-            life = int(action.more["life"], 16)
-            if life in suspects and action.more["probed"] < CHECKS and not member.table.at(suspects[life]):
+        if isinstance(action, ReportEvent) and action.event == "member.failed" and "probed" in action.details:
+            life = int(action.details["life"], 16)
+            if (
+                life in suspects
+                and action.details["probed"] < MIN_FINAL_PINGS
+                and not member.table.up_at(suspects[life])
+            ):
                 raise InvariantError(f"n{number} fails {life} without last probes")
 
 
@@ -55,16 +60,16 @@
     owned: dict[int, tuple[int, bool]],
 ) -> None:
     """Check the invariants of one member after one step."""
-    for life, known in before.table.lives.items():
-        after = member.table.lives.get(life)
+    for life, known in before.table.records.items():
+        after = member.table.records.get(life)
         if after is not None and after.claim.rank < known.claim.rank:
             raise InvariantError(f"n{number} takes a claim on {life} back")
-    for life, known in member.table.lives.items():
+    for life, known in member.table.records.items():
         highest, left = owned.get(life, (0, False))
         if known.claim.incarnation > highest:
             raise InvariantError(f"n{number} knows an incarnation of {life} that this never gave itself")
         if known.status is Status.LEFT and not left:
             raise InvariantError(f"n{number} takes {life} for one that has left, and it has not said so")
     check_verdicts(number, suspects_of(before), member, out)
-    if len(member._rumours) > len(member.table.lives) + 1:
+    if len(member._claim_queue) > len(member.table.records) + 1:
         raise InvariantError(f"n{number} tells more rumours than there are lives")
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from ...membership import swim
-from ...membership.gossip import Rumours
+from ...membership.gossip import ClaimQueue
 from ...membership.member_table import Claim, Status, Table
 from ...membership.swim import SwimMember
 
@@ -15,17 +15,17 @@
 def _mutants() -> dict[str, Callable[[], Any]]:
     def refute_as_before(self: SwimMember, claim: Claim) -> None:
         if claim.status != Status.ALIVE:
-            self._rumours.add(self.own)
+            self._claim_queue.add(self.own)
 
     def take_any(self: Table, claim: Claim, now: int) -> Any:
-        if (known := self.lives.get(claim.life)) is not None:
-            self._withdraw(known)
+        if (known := self.records.get(claim.instance_id)) is not None:
+            self._remove_from_indexes(known)
             known.claim = claim
-            self._enter(known)
+            self._add_to_indexes(known)
             return known
         return None
 
-    def keep_telling(self: Rumours, most: int, members: int, first: int | None = None) -> list[Claim]:
+    def keep_telling(self: ClaimQueue, most: int, members: int, first: int | None = None) -> list[Claim]:
         return [claim for some in self._levels for claim in some.values()][:most]
 
     def suspect_higher(self: Claim, status: Status, incarnation: int, by: int) -> Claim:
@@ -37,13 +37,13 @@
         return None
 
     return {
-        "no-refutation": lambda: mock.patch.object(SwimMember, "_told_of_us", nobody),
-        "refutes-as-before": lambda: mock.patch.object(SwimMember, "_told_of_us", refute_as_before),
+        "no-refutation": lambda: mock.patch.object(SwimMember, "_refute_claim", nobody),
+        "refutes-as-before": lambda: mock.patch.object(SwimMember, "_refute_claim", refute_as_before),
         "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
-        "any-claim-counts": lambda: mock.patch.object(Table, "take", take_any),
-        "others-raise-incarnations": lambda: mock.patch.object(Claim, "saying", suspect_higher),
-        "rumours-for-ever": lambda: mock.patch.object(Rumours, "pick", keep_telling),
-        "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
+        "any-claim-counts": lambda: mock.patch.object(Table, "merge", take_any),
+        "others-raise-incarnations": lambda: mock.patch.object(Claim, "with_status", suspect_higher),
+        "rumours-for-ever": lambda: mock.patch.object(ClaimQueue, "pick", keep_telling),
+        "no-last-probes": lambda: mock.patch.object(swim, "required_final_pings", lambda doubt, tries: 0),
     }
 
 
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -15,7 +15,7 @@
 
 from ...membership.member_table import Claim
 from ...membership.messages import Message, Nack, seal
-from ...membership.swim import Action, Address, Exchange, Options, Send, SwimMember, Tell
+from ...membership.swim import Action, Address, Exchange, Options, ReportEvent, Send, SwimMember
 
 SECOND = 1_000_000
 KEY = b"of the laboratory"
@@ -64,17 +64,17 @@
         options: Options,
     ) -> None:
         self.member = SwimMember(own, rng, now, contacts=contacts, options=options)
-        self.life = own.life
+        self.life = own.instance_id
         self.next_at, self.tick, self.handle = self.member.next_at, self.member.tick, self.member.handle
 
     def failed(self, life: int) -> bool:
         """Whether it declares this process failed."""
-        known = self.member.table.lives.get(life)
-        return known is not None and not known.there
+        known = self.member.table.records.get(life)
+        return known is not None and not known.is_up
 
     def sees(self) -> set[int]:
         """The processes that it takes for alive."""
-        return {known.claim.life for known in self.member.there()}
+        return {known.claim.instance_id for known in self.member.up_members()}
 
 
 class Heartbeat:
@@ -86,8 +86,8 @@
     PERIODS = 5
 
     def __init__(self, own: Claim, period: int, now: int, peers: Callable[[], dict[int, Address]]) -> None:
-        self.life, self._period, self._peers = own.life, period, peers
-        self._at = now + own.life * 7_919 % period
+        self.life, self._period, self._peers = own.instance_id, period, peers
+        self._at = now + own.instance_id * 7_919 % period
         self._heard: dict[int, int] = {}
 
     def next_at(self) -> int:
@@ -137,7 +137,7 @@
         self._timers: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda source, to: False
         self.bytes = self.messages = self.largest = 0
-        self.told: list[tuple[int, int, Tell]] = []
+        self.told: list[tuple[int, int, ReportEvent]] = []
 
     # --- members
 
@@ -149,7 +149,7 @@
         own = Claim(
             next(self._lives), name or f"n{number}", place or f"p{number}", *_address_of(number), 0, 0
         )
-        rng = random.Random(f"{self.seed} {own.life}")
+        rng = random.Random(f"{self.seed} {own.instance_id}")
         contacts = [_address_of(contact) for contact in range(CONTACTS)]
         player: Player = Swim(own, rng, self.now, contacts, self.options)
         if self.baseline:
@@ -222,7 +222,7 @@
 
     def _do(self, number: int, actions: Sequence[Action]) -> None:
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, ReportEvent):
                 self.told.append((self.now, number, action))
             elif isinstance(action, Send):
                 self._send(number, action)
@@ -271,7 +271,7 @@
         for source, sink, answer in ((number, to, True), (to, number, False)):
             player, other = self.players[source], self.players[sink]
             assert isinstance(player, Swim)
-            for view in player.member.whole(answer):
+            for view in player.member.state_messages(answer):
                 self._count_message(player.life, view)
                 self._do(sink, other.handle(self.now, player.life, 0, _address_of(source), view))
         self._arm(to)
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -8,8 +8,8 @@
 from typing import TypeVar
 
 from ...membership.member_table import Claim, Status
-from ...membership.messages import MOST_BYTES, Message, View, seal
-from ...membership.swim import Action, Send, SwimMember, Tell
+from ...membership.messages import MAX_DATAGRAM_BYTES, Message, View, seal
+from ...membership.swim import Action, ReportEvent, Send, SwimMember
 from .invariants import InvariantError, check_step, check_verdicts, suspects_of, why_unstable
 from .world_states import KEY, Envelope, FaultCounts, FixedRandom, State, address_of, load, number_at
 
@@ -65,7 +65,7 @@
             tuple(pickle.dumps(member) for member in members),
             (0,) * self.count,
             (),
-            owned=tuple((member.own.life, 0, False) for member in members),
+            owned=tuple((member.own.instance_id, 0, False) for member in members),
         )
         return self.rest(state, REST_US)
 
@@ -81,7 +81,7 @@
         """The first member suspects the second, and no other has heard of it yet."""
         state = self.joined()
         for _ in range(MAX_STEPS_TO_SUSPICION):
-            if any(load(state.members[0]).table.standing(Status.SUSPECT)):
+            if any(load(state.members[0]).table.with_status(Status.SUSPECT)):
                 return replace(state, in_flight=())
             state = self._tick(state)
             state = _without_messages_of(state, 1)
@@ -109,14 +109,16 @@
         out: list[Envelope] = []
         source = member.own.host, member.own.port
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, ReportEvent):
                 continue
-            messages: list[Message] = [action.message] if isinstance(action, Send) else [*member.whole(True)]
+            messages: list[Message] = (
+                [action.message] if isinstance(action, Send) else [*member.state_messages(True)]
+            )
             for message in messages:
-                envelope = Envelope(action.to, member.own.life, sent + len(out) + 1, source, message)
+                envelope = Envelope(action.to, member.own.instance_id, sent + len(out) + 1, source, message)
                 if not isinstance(message, View):
                     size = len(seal(KEY, envelope.life, envelope.number, message))
-                    if size > MOST_BYTES:
+                    if size > MAX_DATAGRAM_BYTES:
                         raise InvariantError(f"a datagram of {size} bytes")
                 out.append(envelope)
         return out
@@ -133,8 +135,10 @@
         more = self._envelopes(member, sent, out)
         if isinstance(envelope.message, View) and envelope.message.answer:
             more += [
-                Envelope(envelope.source, member.own.life, sent + len(more) + number, envelope.to, view)
-                for number, view in enumerate(member.whole(False), start=1)
+                Envelope(
+                    envelope.source, member.own.instance_id, sent + len(more) + number, envelope.to, view
+                )
+                for number, view in enumerate(member.state_messages(False), start=1)
             ]
         return out, more
 
@@ -149,10 +153,10 @@
         """The state with this member as it is now, once its invariants are checked."""
         before = load(state.members[number])
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
-        highest, left = owned.get(member.own.life, (0, False))
+        highest, left = owned.get(member.own.instance_id, (0, False))
         if member.own.incarnation < highest and member.own.status != Status.LEFT:
             raise InvariantError(f"n{number} takes its own incarnation back")
-        owned[member.own.life] = (
+        owned[member.own.instance_id] = (
             max(highest, member.own.incarnation),
             left or member.own.status == Status.LEFT,
         )
@@ -280,8 +284,8 @@
             due += [(now + PASS_US, envelope) for envelope in envelopes]
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
         for member in members.values():
-            highest, left = owned.get(member.own.life, (0, False))
-            owned[member.own.life] = max(highest, member.own.incarnation), left
+            highest, left = owned.get(member.own.instance_id, (0, False))
+            owned[member.own.instance_id] = max(highest, member.own.incarnation), left
         all_members = tuple(
             pickle.dumps(members[number]) if number in members else state.members[number]
             for number in range(self.count)
