--- a/cairnvane/config/__init__.py
+++ b/cairnvane/config/__init__.py
@@ -1,7 +1,7 @@
 """The platform's configuration: reads the JSON file, checks it and fills in defaults.
 
-The operator's own YAML file is read by `config.operator`, which is only imported if such a file is named: a
-server that is started without it has no memory to spare for the YAML reader.
+The operator's YAML file is read by `config.operator`, which is imported only if such a file is configured: a
+server without it must not spend memory on the YAML parser.
 """
 
 from __future__ import annotations
@@ -17,30 +17,31 @@
 from ..simulator.errors import ProtocolError
 from ..simulator.settings_reader import read_settings
 
-# The most that the platform gives on a scored day, for a configuration that leaves limits out.
+# The limits of the platform on a scored day; defaults for a configuration without them.
 DEFAULT_SOCKETS = 1_024
 DEFAULT_STOP_MS = 3_000
-# 64 of them are reserved for links, calls and connections that close; as many should be left for balancers.
+# 64 file descriptors are reserved for links, calls and closing connections; as many should remain for
+# balancers.
 MIN_SOCKETS = 128
-# More than any system gives a process.
+# More file descriptors than any system allows for a process.
 MAX_SOCKETS = 1 << 20
-# One day: longer than anyone waits for a process to end.
+# One day: longer than any useful grace period.
 MAX_STOP_MS = 86_400_000
 MAX_PORT = 65_535
 
-# Environment variables. The first one names the platform's file, the next three override keys of it.
+# Environment variables. The first one is the path of the platform's file, the next three override its keys.
 CONFIG_VARIABLE = "LB_CONFIG"
 NAME_VARIABLE = "LB_NAME"
 LISTEN_VARIABLE = "LB_LISTEN"
 CONTROL_VARIABLE = "LB_CONTROL"
-# Names the operator's own file; see `config.operator`.
+# The path of the operator's file; see `config.operator`.
 OPERATOR_VARIABLE = "CAIRNVANE_OPERATOR"
 
 Address = tuple[str, int]
 
 
 class ConfigurationError(Exception):
-    """The configuration is at fault; the message is one line that names the key and the value."""
+    """The configuration is invalid. The message is one line that names the key and the value."""
 
 
 class _Limits(msgspec.Struct):
@@ -48,7 +49,7 @@
 
 
 class _File(msgspec.Struct):
-    """The platform's file, by its own keys."""
+    """The content of the platform's file, by its keys."""
 
     pool: str
     roster: str
@@ -64,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The whole configuration of one server, checked."""
+    """The validated configuration of one server."""
 
     name: str
     listen: Address
@@ -72,15 +73,15 @@
     registry: Address
     vault: Address
     seed: int
-    stop_ms: int  # how long after a signal to shut down the process is stopped
-    sockets: int  # descriptors that the process may have open
+    stop_ms: int  # the platform kills the process this long after the signal to shut down
+    sockets: int  # maximum number of open file descriptors of the process
     settings: Settings
-    gauges: tuple[str | None, ...]  # in the order in which the pool sends them; None: of no interest
-    administration: Address | None = None  # of the administration endpoint; None: it is off
+    gauges: tuple[str | None, ...]  # names in the order in which the pool sends them; None: not used
+    administration: Address | None = None  # of the administration endpoint; None: disabled
 
 
-# What a server can't change while it runs: keys of the platform's file, and the fields that they set.
-_FIXED_FIELDS = {
+# Keys of the platform's file that cannot change at run time, and the fields that they set.
+_RESTART_FIELDS = {
     "name": "name",
     "listen": "listen",
     "sockets": "sockets",
@@ -90,12 +91,12 @@
 
 
 def keys_that_need_restart(current: Config, new: Config) -> list[str]:
-    """The keys of the file that differ, and take effect only at the next start."""
-    return [key for key, field in _FIXED_FIELDS.items() if getattr(new, field) != getattr(current, field)]
+    """The keys whose values differ and take effect only after a restart."""
+    return [key for key, field in _RESTART_FIELDS.items() if getattr(new, field) != getattr(current, field)]
 
 
 def address(key: str, text: str) -> Address:
-    """Read HOST:PORT. Raises a `ConfigurationError` that names `key`."""
+    """Parse HOST:PORT. Raises a `ConfigurationError` that names `key`."""
     host, colon, port_text = text.rpartition(":")
     port = int(port_text) if port_text.isascii() and port_text.isdigit() else -1
     if not (host and colon and _is_host_name(host) and 0 <= port <= MAX_PORT):
@@ -104,7 +105,7 @@
 
 
 def _is_host_name(host: str) -> bool:
-    """Whether the system can encode this name; it would do so later, in whatever thread first connects."""
+    """Whether the name can be encoded for a lookup. Otherwise the first thread that connects would fail."""
     try:
         host.encode("idna")
     except UnicodeError:
@@ -113,23 +114,23 @@
 
 
 def _describe_value(raw: bytes, problem: str) -> str:
-    """The value at the place that a message of msgspec names; the message only says what it expected."""
-    place = re.search(r"at `\$\.([\w.]+)`", problem)
-    if place is None:
+    """The value at the path in an error message of msgspec, which itself states only the expected type."""
+    path_match = re.search(r"at `\$\.([\w.]+)`", problem)
+    if path_match is None:
         return ""
     value = msgspec.json.decode(raw)
-    for key in place[1].split("."):
+    for key in path_match[1].split("."):
         value = value[key]
     return f": {value!r}"
 
 
-def _required(key: str, text: str) -> str:
+def _require_text(key: str, text: str) -> str:
     if not text:
         raise ConfigurationError(f"{key}: missing")
     return text
 
 
-def _bounded(key: str, value: int, minimum: int, maximum: int) -> int:
+def _require_in_range(key: str, value: int, minimum: int, maximum: int) -> int:
     if value < minimum:
         raise ConfigurationError(f"{key}: {value} is under {minimum}")
     if value > maximum:
@@ -159,12 +160,12 @@
 
 
 def _read_settings(raw: msgspec.Raw) -> tuple[Settings, tuple[str | None, ...]]:
-    """The controller's settings, and the names of the pool's gauges."""
+    """Read the controller's settings and the names of the pool's gauges."""
     try:
         settings, gauges = read_settings(bytes(raw).decode())
     except ProtocolError as error:
         raise ConfigurationError(str(error)) from None
-    # The pool has no command to continue a run without its call, so here no class has degraded answers.
+    # The pool has no command to continue a run without its call, so no class can give degraded responses.
     classes = tuple(replace(cls, degraded_fraction=0.0) for cls in settings.classes)
     return replace(settings, classes=classes), gauges
 
@@ -174,19 +175,19 @@
 
     Raises `ConfigurationError`.
     """
-    file = _read_file(_required(CONFIG_VARIABLE, environment.get(CONFIG_VARIABLE, "")))
+    file = _read_file(_require_text(CONFIG_VARIABLE, environment.get(CONFIG_VARIABLE, "")))
     seed = _read_seed(file.seed)
     settings, gauges = _read_settings(file.settings)
     administration = environment.get(CONTROL_VARIABLE) or file.control
     return Config(
-        name=_required("name", environment.get(NAME_VARIABLE) or file.name),
+        name=_require_text("name", environment.get(NAME_VARIABLE) or file.name),
         listen=address("listen", environment.get(LISTEN_VARIABLE) or file.listen),
         pool=address("pool", file.pool),
         registry=address("roster", file.roster),
         vault=address("vault", file.vault),
         seed=seed,
-        stop_ms=_bounded("stop_ms", file.stop_ms, 1, MAX_STOP_MS),
-        sockets=_bounded("limits.sockets", file.limits.sockets, MIN_SOCKETS, MAX_SOCKETS),
+        stop_ms=_require_in_range("stop_ms", file.stop_ms, 1, MAX_STOP_MS),
+        sockets=_require_in_range("limits.sockets", file.limits.sockets, MIN_SOCKETS, MAX_SOCKETS),
         settings=settings,
         gauges=gauges,
         administration=address("control", administration) if administration else None,
--- a/cairnvane/logging_setup.py
+++ b/cairnvane/logging_setup.py
@@ -1,6 +1,6 @@
 """Sets up the standard library's `logging`: plain lines on standard error, or JSON objects.
 
-Each module logs to a logger of its own name, so that a line leads to the code that wrote it.
+Each module has a logger of its own name, so that a line shows which module wrote it.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 import time
 
 PLAIN_FORMAT = "%(asctime)s.%(msecs)03d %(levelname)s %(name)s: %(message)s"
-# UTC, so that the lines of several machines can be put in order.
+# In UTC, so that lines of several machines can be sorted by time.
 TIME_FORMAT = "%Y-%m-%dT%H:%M:%S"
 
 
 def _replace_handler(formatter: logging.Formatter) -> None:
-    """Write each record as one line in one write, so that lines of several threads never mix.
+    """Install a handler that writes each record in one call, so that lines of several threads never mix.
 
-    The level stays what it was.
+    The log level is not changed.
     """
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(formatter)
@@ -25,12 +25,12 @@
 
 
 def use_level(name: str) -> None:
-    """Write lines of this level and above: `info`, or `debug`, which adds one for each request not run."""
+    """Set the log level: `info`, or `debug`, which adds a line for each request that was not run."""
     logging.getLogger().setLevel(name.upper())
 
 
 def use_plain_lines() -> None:
-    """Write plain lines with UTC time, level, module and message."""
+    """Write plain text lines with UTC time, level, logger and message."""
     formatter = logging.Formatter(PLAIN_FORMAT, TIME_FORMAT)
     formatter.converter = time.gmtime
     _replace_handler(formatter)
--- a/cairnvane/net/accept_loop.py
+++ b/cairnvane/net/accept_loop.py
@@ -1,4 +1,4 @@
-"""The accept loop of a listener's thread, for servers with a thread for each connection."""
+"""The accept loop of a listener thread, for servers that use one thread per connection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable
 
-# After a failed `accept` (no descriptors, say) the next attempt waits so long.
+# Delay before the next attempt after a failed `accept`, for example for lack of file descriptors.
 ACCEPT_RETRY_S = 0.1
 
 ConnectionHandler = Callable[[socket.socket], None]
@@ -19,10 +19,10 @@
     handler: ConnectionHandler,
     logger: logging.Logger,
 ) -> None:
-    """Hand each connection to `handler` until `is_stopped` says so.
+    """Pass each accepted connection to `handler` until `is_stopped` returns True.
 
-    A connection that the handler can't have (reset by now, or no thread for it) is closed, and the loop goes
-    on. Failures are logged to the caller's `logger`.
+    If the handler fails (the peer has reset the connection, or no thread could be started), the connection is
+    closed and the loop continues. Failures are logged to the caller's `logger`.
     """
     while not is_stopped():
         try:
@@ -36,7 +36,7 @@
 
 
 def hand_over(sock: socket.socket, handler: ConnectionHandler, logger: logging.Logger) -> None:
-    """Hand over one accepted connection, or close it."""
+    """Pass one accepted connection to `handler`; close it if the handler fails."""
     try:
         handler(sock)
     except (OSError, RuntimeError) as error:
--- a/cairnvane/net/connection.py
+++ b/cairnvane/net/connection.py
@@ -1,4 +1,4 @@
-"""One balancer's connection: the reader's loop, the deadlines of the peer, and the orderly close."""
+"""One balancer's connection: its read loop, the deadlines for its peer, and its graceful close."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from typing import Protocol
 
 from . import fastcgi
-from .connection_lifecycle import MAX_OPEN, ConnectionLifecycle, ConnectionPhase, LifecycleContext
+from .connection_lifecycle import MAX_OPEN_REQUESTS, ConnectionLifecycle, ConnectionPhase, LifecycleContext
 from .read_buffers import BufferPool
 from .record_handler import MAX_STRAY_RECORDS, HandlerContext, RecordHandler
 
 __all__ = [
-    "MAX_OPEN",
+    "MAX_OPEN_REQUESTS",
     "MAX_STRAY_RECORDS",
     "REQUEST_TIMEOUT_S",
     "Connection",
@@ -24,29 +24,30 @@
 
 logger = logging.getLogger(__name__)
 
-# A balancer opens a connection for a request and sends that whole. Whoever says nothing, or half of
-# something, for so long is no balancer; it is owed an end within 3 s, of which a busy machine takes some.
+# Deadline for a complete request. A balancer opens a connection to send a request and sends it whole, so a
+# peer that sends nothing or only a part for this long is not a balancer. Such a connection has to be closed
+# within 3 s; the difference allows for delays on a busy machine.
 REQUEST_TIMEOUT_S = 2.0
-# Who sends what can't be right is read on only after so long: a client that tries the same again as soon as
-# it is rejected would else have the share of the core that the balancers need.
+# Delay before the next read from a peer that sent invalid data. Without it, a client that retries as soon as
+# it is rejected would use the CPU time that the balancers need.
 SUSPECT_READ_DELAY_S = 0.05
-# Answers that were given have so long to leave when the connection ends.
+# Time to send pending responses when the connection is closed.
 FLUSH_TIMEOUT_S = 1.0
-# A balancer that has read the end closes its side within this time, or is cut off; so is one that sends more
-# than so many bytes.
+# After our side is closed, the peer has this time to close its own, and may send at most this number of bytes
+# until then; otherwise the connection is reset.
 FINAL_READ_TIMEOUT_S = 0.2
 FINAL_READ_MAX_BYTES = 65_536
 FINAL_READ_CHUNK_BYTES = 4_096
 
 
 class ServerContext(LifecycleContext, HandlerContext, Protocol):
-    """What a connection needs to know of the server."""
+    """The attributes of the server that a connection uses."""
 
     buffers: BufferPool
 
 
 class Connection:
-    """One balancer's connection, read by one thread (`serve`, then `close`)."""
+    """One balancer's connection. One thread reads it: it calls `serve`, then `close`."""
 
     def __init__(self, server: ServerContext, sock: socket.socket) -> None:
         self.sock = sock
@@ -56,27 +57,27 @@
 
     @property
     def has_served(self) -> bool:
-        """Whether a request on it was served: then it is a balancer's, as far as can be told."""
+        """Whether a request was served on this connection, which indicates that the peer is a balancer."""
         return self._handler.has_served
 
     @property
     def last_activity(self) -> float:
-        """When it last carried something, in seconds of the monotonic clock."""
+        """When data was last received or sent, in seconds of the monotonic clock."""
         return self._lifecycle.last_activity
 
     @property
     def state(self) -> ConnectionPhase:
-        """How far its end has come."""
+        """The phase of the connection's shutdown."""
         return self._lifecycle.state
 
     @property
     def is_parsing(self) -> bool:
-        """Bytes were received that have not been parsed yet."""
+        """Whether received bytes have not been parsed yet."""
         return self._lifecycle.is_parsing
 
     @property
     def partial_record_since(self) -> float | None:
-        """Since when a record is half read, by the server's clock."""
+        """Since when a record has been incomplete, by the server's clock; None if there is no such record."""
         return self._lifecycle.partial_record_since
 
     # --- reading
@@ -84,9 +85,9 @@
     def serve(self) -> None:
         """Read until either side ends the connection.
 
-        The wait for the peer has no bound here, since hundreds of readers that wake up now and then would get
-        in the way of the few that have something to do: `look` wakes those that are to end. What has come
-        stays in the kernel meanwhile, where the lifecycle sees it.
+        The wait for the peer has no timeout here, since hundreds of readers that wake up periodically would
+        slow down the few that have work: `enforce_deadlines` wakes the readers that have to end. Until it is
+        received, input stays in the kernel's buffer, where the lifecycle can detect it.
         """
         with self._server.buffers.lend() as buffer:
             buffered = 0
@@ -107,29 +108,32 @@
                     time.sleep(SUSPECT_READ_DELAY_S)
 
     def _parse(self, buffer: memoryview, size: int) -> int:
-        """Act on all whole records of the buffer; the size of what is left, moved to its beginning."""
+        """Handle all complete records in the buffer.
+
+        The remaining bytes are moved to the start of the buffer; returns their number.
+        """
         position = 0
         try:
             while (found := fastcgi.read_record(buffer, position, size)) is not None:
                 record, position = found
                 self._handler.handle(record)
         except fastcgi.MalformedRecordError as error:
-            logger.warning("connection is not read any more: %s", error)
+            logger.warning("connection closed for reading after a malformed record: %s", error)
             self._handler.is_suspect = True
             self._lifecycle.stop_reading()
             return 0
         remaining = size - position
         if remaining == 0:
-            self._lifecycle.no_partial_record()
+            self._lifecycle.clear_partial_record()
         elif position or self._lifecycle.partial_record_since is None:
             buffer[:remaining] = bytes(buffer[position:size])
-            self._lifecycle.partial_record_left()
+            self._lifecycle.mark_partial_record()
         return remaining
 
     def _close_after_parsing(self) -> bool:
-        """Close the connection if only unparsed bytes kept it from its end; True if it has ended now.
+        """Close the connection if only unparsed bytes prevented that; True if it has ended now.
 
-        Who asked for the end before found it busy.
+        An earlier attempt to close it found unparsed bytes and left it open.
         """
         self._lifecycle.parsing_finished()
         is_closing = self._server.retiring or self._lifecycle.state is ConnectionPhase.ANSWERING
@@ -138,10 +142,10 @@
     # --- ending
 
     def enforce_deadlines(self) -> None:
-        """Enforce the peer's deadlines; called now and then.
+        """Enforce the peer's deadlines; called periodically.
 
-        End the wait for a peer that has nothing to say, fail requests that do not come whole, and close the
-        connection if it idles.
+        End the wait for a peer that sends nothing, fail requests that stay incomplete, and close the
+        connection if it is idle.
         """
         expired = self._lifecycle.expire(self._server.clock - REQUEST_TIMEOUT_S)
         if expired.connection:
@@ -152,45 +156,48 @@
         self.close_if_idle()
 
     def close_if_idle(self, asked: bool = False) -> bool:
-        """End a connection with no open request, if that is wanted or it has idled for too long."""
+        """End a connection without open requests if that was requested or it has been idle for too long."""
         return self._lifecycle.close_if_idle(asked)
 
     def evict(self, even_if_partial: bool = False) -> bool:
-        """End it at once, since another connection needs its place.
+        """End the connection at once to make room for another one.
 
-        False if an answer is owed on it, or, unless `even_if_partial`, something has come that may become a
-        request.
+        False if a response is pending on it, or, unless `even_if_partial`, if input has arrived that may
+        become a request.
         """
         return self._lifecycle.evict(even_if_partial)
 
     def end(self) -> None:
-        """End it whatever is still being read: the time to answer it is over."""
+        """End the connection even if a request is still being read: the time to answer it is over."""
         self._lifecycle.end()
 
     def close(self) -> None:
-        """Close the connection once its peer has ended its side or was asked to.
+        """Close the connection after the peer has closed its side or our side was closed.
 
-        Called by the reader's thread. In FastCGI's terms that aborts all open requests, and nothing runs on
-        for them. The peer may still read, and each request that was read is owed an answer, so it gets one.
+        Called by the reader's thread. By the FastCGI specification this aborts all open requests, so their
+        runs are cancelled. The peer may still read, and each request that was read must be answered, so each
+        open request gets a response.
         """
         for number, exchange in self._lifecycle.stop_reading_and_list_open().items():
             self._handler.abandon(number, exchange)
         self._lifecycle.end_when_answered(FLUSH_TIMEOUT_S)
-        # Closing with unread bytes resets the connection, and the balancer might lose answers that it has
-        # not read yet. So our side is closed first, and the peer has a moment to close its own.
-        self._lifecycle.writer.finish(FLUSH_TIMEOUT_S)
+        # Closing a socket with unread bytes resets the connection, and the balancer could lose responses that
+        # it has not read yet. So only our side is closed first, and the peer gets a short time to close its
+        # own.
+        self._lifecycle.writer.close_write_side_and_wait(FLUSH_TIMEOUT_S)
         self._read_to_end()
         self.sock.close()
 
     def _wake_reader(self) -> None:
-        """End the reader's wait for a peer that does not close its side."""
+        """End the reader's wait for a peer that has not closed its side."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD)
 
     def _read_to_end(self) -> None:
         """Read until the peer closes its side.
 
-        Bounded in time and bytes: a client with 60 MB to send, or one that drips, must not hold the thread.
+        Time and size are bounded: a client that sends 60 MB, or a few bytes at a time, must not block the
+        thread.
         """
         deadline = time.monotonic() + FINAL_READ_TIMEOUT_S
         remaining_bytes = FINAL_READ_MAX_BYTES
--- a/cairnvane/net/connection_lifecycle.py
+++ b/cairnvane/net/connection_lifecycle.py
@@ -1,4 +1,4 @@
-"""What is owed on one connection and whether it has ended: one question, answered under one lock."""
+"""The open requests of one connection and the phase of its shutdown, guarded by one lock."""
 
 from __future__ import annotations
 
@@ -12,25 +12,26 @@
 from . import fastcgi
 from .message_writer import MessageWriter
 
-# The protocol's own bound on open requests of a connection.
-MAX_OPEN = 32
-# A peer that is overdue gets so much longer if bytes have come that were not parsed yet.
-UNREAD_GRACE_S = 0.5
-# Balancers close idle connections themselves after some seconds. A client that asks once and then holds its
-# connection for good would keep a thread and a descriptor for it; a balancer's is never cut that early.
+# The protocol's limit on open requests per connection.
+MAX_OPEN_REQUESTS = 32
+# Extension of a peer's deadline while received bytes have not been parsed yet.
+UNREAD_INPUT_GRACE_S = 0.5
+# Idle connections are closed after this time at the latest. Balancers close theirs after a few seconds, so
+# this never affects them; a client that keeps its connection open after one request would occupy a thread and
+# a file descriptor.
 MAX_IDLE_S = 30.0
 
 
 class ConnectionPhase(Enum):
-    """How far the end of a connection has come. It only goes forward, under the connection's lock."""
+    """The phase of a connection's shutdown. It only advances, and only under the lifecycle's lock."""
 
     SERVING = 0  # requests are read and answered
-    ANSWERING = 1  # nothing more is read; the answers that are owed go out, then our side is closed
-    ENDED = 2  # our side is closed: nothing that still comes is looked at
+    ANSWERING = 1  # nothing more is read; pending responses are sent, then our side is closed
+    ENDED = 2  # our side is closed; further input is ignored
 
 
 class BeginResult(Enum):
-    """What came of a request's first record."""
+    """The result of a BEGIN_REQUEST record."""
 
     STARTED = 0
     NUMBER_IN_USE = 1
@@ -38,62 +39,62 @@
     OVERLOADED = 3
 
 
-class Withdrawn(NamedTuple):
-    """What an abort found under its request number."""
+class AbortedRequest(NamedTuple):
+    """The request that an abort record refers to."""
 
-    was_partial: bool  # the request was still being read, and is forgotten now
-    exchange: Exchange | None  # it was handed over and is not answered
+    was_partial: bool  # the request was still being read, and has been removed
+    exchange: Exchange | None  # the request was handed over and has not been answered; else None
 
 
 class Expired(NamedTuple):
-    """What has waited for its peer for too long."""
+    """What has exceeded its deadline."""
 
-    connection: bool  # the connection as a whole: its reader is to be woken
+    connection: bool  # the connection itself; its reader has to be woken
     partial_requests: list[fastcgi.IncomingRequest]
 
 
 class LifecycleContext(Protocol):
-    """What the lifecycle needs to know of the server."""
+    """The attributes of the server that the lifecycle uses."""
 
-    idle_s: float  # close connections that carried nothing for so long; 0: only after `MAX_IDLE_S`
+    idle_s: float  # close connections after this idle time; 0: after `MAX_IDLE_S`
     retiring: bool
-    clock: float  # seconds by which peers are judged
+    clock: float  # in seconds; the deadlines of peers are measured by it
 
 
 class ConnectionLifecycle:
-    """The requests and the end of one connection.
+    """The requests and the shutdown of one connection.
 
-    The reader, an answer's thread, the deadline watch, a new connection that needs the place and the graceful
-    shutdown all ask here. For that, a request is at any moment seen in one of these: bytes in the kernel
-    (`_has_unread_bytes`), bytes that are being parsed (`is_parsing`), half a record
-    (`partial_record_since`), a request of which records are missing (`_partial_requests`), or a request whose
-    answer is not written (`_open_exchanges`).
+    The reader, threads that write responses, the deadline thread, a new connection that needs room and the
+    graceful shutdown all use this state to decide whether the connection may be closed. So at any moment each
+    request is visible in one of these: bytes in the kernel (`_has_unread_bytes`), bytes that are being parsed
+    (`is_parsing`), an incomplete record (`partial_record_since`), a request with missing records
+    (`_partial_requests`), or a request whose response has not been written (`_open_exchanges`).
     """
 
     def __init__(self, context: LifecycleContext, sock: socket.socket) -> None:
         self.writer = MessageWriter(sock)
         self.state = ConnectionPhase.SERVING
-        self.last_activity = time.monotonic()  # when the connection last carried something
-        self.is_parsing = False  # bytes were received that have not been parsed yet
-        self.partial_record_since: float | None = None  # by the context's clock, as the next two
+        self.last_activity = time.monotonic()  # when data was last received or sent, by the monotonic clock
+        self.is_parsing = False  # received bytes have not been parsed yet
+        self.partial_record_since: float | None = None  # by the clock of `context`
         self._context = context
         self._sock = sock
-        # Guards all that is here, except `partial_record_since`, which the reader sets without it.
+        # Guards all attributes except `partial_record_since`, which the reader sets without the lock.
         self._lock = threading.Lock()
         self._all_answered = threading.Condition(self._lock)
         self._partial_requests: dict[int, fastcgi.IncomingRequest] = {}  # by request number, oldest first
-        self._open_exchanges: dict[int, Exchange] = {}  # handed over, the answer not written
-        # None once a whole request has come.
+        self._open_exchanges: dict[int, Exchange] = {}  # handed over, response not yet written
+        # By the clock of `context`; None after a complete request has arrived.
         self._first_request_awaited_since: float | None = context.clock
         self._ended_since: float | None = None
 
     # --- reading
 
     def receive(self, buffer: memoryview) -> int:
-        """Receive what has come, to be parsed; the number of bytes, 0 if the connection has ended.
+        """Receive available bytes for parsing; returns their number, or 0 if the connection has ended.
 
-        The caller has seen that there are some; nobody else receives any. `OSError` if the connection is
-        lost.
+        The caller has checked that bytes are available, and only one thread receives. Raises `OSError` if the
+        connection is lost.
         """
         with self._lock:
             if self.state is ConnectionPhase.ENDED:
@@ -104,33 +105,33 @@
         return count
 
     def parsing_finished(self) -> None:
-        """What was received has been parsed."""
+        """Record that all received bytes have been parsed."""
         with self._lock:
             self.is_parsing = False
 
-    def partial_record_left(self) -> None:
-        """Behind the records that were parsed stands the beginning of another one."""
+    def mark_partial_record(self) -> None:
+        """Record that the parsed input ended with an incomplete record."""
         self.partial_record_since = self._context.clock
 
-    def no_partial_record(self) -> None:
-        """What was parsed ended with a whole record."""
+    def clear_partial_record(self) -> None:
+        """Record that the parsed input ended with a complete record."""
         self.partial_record_since = None
 
     def stop_reading(self) -> None:
-        """What comes from here on can't be read. The answers that are owed are another matter."""
+        """Stop reading further input. Pending responses are still sent."""
         with self._lock:
             self._stop_reading()
 
     # --- requests
 
     def begin_request(self, number: int, role: int, keep_connection: bool) -> BeginResult:
-        """Take note of a request's first record."""
+        """Register a request by its BEGIN_REQUEST record."""
         with self._lock:
             if number in self._open_exchanges or number in self._partial_requests:
                 return BeginResult.NUMBER_IN_USE
             if role != fastcgi.RESPONDER:
                 return BeginResult.UNKNOWN_ROLE
-            if len(self._open_exchanges) + len(self._partial_requests) >= MAX_OPEN:
+            if len(self._open_exchanges) + len(self._partial_requests) >= MAX_OPEN_REQUESTS:
                 return BeginResult.OVERLOADED
             self._partial_requests[number] = fastcgi.IncomingRequest(
                 number, keep_connection, self._context.clock
@@ -138,21 +139,21 @@
         return BeginResult.STARTED
 
     def partial_request(self, number: int) -> fastcgi.IncomingRequest | None:
-        """The request of this number, if it is being read."""
+        """The request with this number if it is still being read, else None."""
         return self._partial_requests.get(number)
 
-    def withdraw(self, number: int) -> Withdrawn:
-        """The peer has aborted this request."""
+    def abort_request(self, number: int) -> AbortedRequest:
+        """Handle the peer's abort of this request."""
         with self._lock:
             partial = self._partial_requests.pop(number, None)
             exchange = self._open_exchanges.get(number)
-        return Withdrawn(partial is not None, exchange)
+        return AbortedRequest(partial is not None, exchange)
 
-    def owe_answer(self, incoming: fastcgi.IncomingRequest, exchange: Exchange) -> bool:
-        """It is not read any more but owed an answer, in one step, so that it is seen at any moment.
+    def register_exchange(self, incoming: fastcgi.IncomingRequest, exchange: Exchange) -> bool:
+        """Turn a partial request into an open one, atomically, so that it is visible at any moment.
 
-        False if something else came first: the connection's end, or the deadline of the request, which ran
-        out as its rest came.
+        False if the connection has ended or if the deadline of the request passed while its last record
+        arrived.
         """
         with self._lock:
             if (
@@ -166,10 +167,10 @@
         return True
 
     def close_request(self, number: int, data: bytes) -> None:
-        """The request is not open any more, and its end is written, which does not wait: one step.
+        """Remove an open request and write the end of its response (`data`), atomically and without blocking.
 
-        If the connection's end were written in between, the peer would never get the answer. Written before
-        the request is closed, the balancer might use the number again while it still counts as open.
+        If the connection could be closed between the two steps, the peer would never get the response. If the
+        response were written first, the balancer could reuse the number while it still counts as open.
         """
         with self._lock:
             self._open_exchanges.pop(number, None)
@@ -179,15 +180,15 @@
                 self._all_answered.notify()
 
     def stop_reading_and_list_open(self) -> dict[int, Exchange]:
-        """Read nothing more, and return what is owed an answer, by request number."""
+        """Stop reading further input, and return the unanswered requests by request number."""
         with self._lock:
             self._stop_reading()
             return dict(self._open_exchanges)
 
-    # --- the end
+    # --- closing
 
     def expire(self, cutoff: float) -> Expired:
-        """Stop waiting for whatever the peer should have sent before `cutoff` (of the context's clock)."""
+        """Stop waiting for input that was due before `cutoff` (by the clock of `context`)."""
         with self._lock:
             connection = self._ended_since is not None and self._ended_since <= cutoff
             if self._is_overdue(self._first_request_awaited_since, cutoff) or self._is_overdue(
@@ -197,32 +198,32 @@
                 connection = not self._open_exchanges
                 if connection:
                     self._end()
-            late = [partial for partial in self._partial_requests.values() if partial.begun <= cutoff]
-        return Expired(connection, late)
+            overdue = [partial for partial in self._partial_requests.values() if partial.started_at <= cutoff]
+        return Expired(connection, overdue)
 
     def close_if_idle(self, asked: bool) -> bool:
-        """End a connection with no open request, if that is wanted; True if it has ended now.
+        """End a connection without open requests if it should be closed; True if it has ended now.
 
-        It is wanted if the peer asked for it, the server retires, or the connection has idled for too long.
+        It should be closed if the peer requested that, the server retires, or it has been idle for too long.
         """
         with self._lock:
             if self.state is ConnectionPhase.ENDED or self._open_exchanges:
                 return False
             if self.state is ConnectionPhase.SERVING:
-                is_wanted = asked or self._context.retiring or self._idles_too_long()
+                is_wanted = asked or self._context.retiring or self._has_idled_too_long()
                 if not is_wanted or self._has_partial_input():
                     return False
-            self._end()  # the balancer closes its side, which ends the reader's wait
+            self._end()  # the balancer then closes its side, which ends the reader's wait
         return True
 
     def evict(self, even_if_partial: bool) -> bool:
-        """End it at once.
+        """End the connection at once.
 
-        False if an answer is owed on it, or, unless `even_if_partial`, something has come that may become a
-        request.
+        False if a response is pending on it, or, unless `even_if_partial`, if input has arrived that may
+        become a request.
         """
         with self._lock:
-            if self.state is ConnectionPhase.ENDED or self._open_exchanges or self.writer.waiting:
+            if self.state is ConnectionPhase.ENDED or self._open_exchanges or self.writer.has_backlog:
                 return False
             if self._has_partial_input() and not even_if_partial:
                 return False
@@ -231,17 +232,17 @@
         return True
 
     def end(self) -> None:
-        """End it, whatever is still being read or answered."""
+        """End the connection, even if requests are still being read or answered."""
         with self._lock:
             self._end()
 
     def end_when_answered(self, timeout_s: float) -> None:
-        """Wait for the answers that are on their way in other threads, so long at the most, and end it."""
+        """Wait at most `timeout_s` for responses by other threads, then end the connection."""
         with self._lock:
             self._all_answered.wait_for(lambda: not self._open_exchanges, timeout_s)
             self._end()
 
-    # --- with the lock held
+    # --- called with the lock held
 
     def _stop_reading(self) -> None:
         if self.state is ConnectionPhase.SERVING:
@@ -251,38 +252,39 @@
         self._first_request_awaited_since = None
 
     def _end(self) -> None:
-        """Close our side: from this moment on nothing is received."""
+        """Close our side of the connection; further input is ignored."""
         if self.state is not ConnectionPhase.ENDED:
             self.state = ConnectionPhase.ENDED
             self._ended_since = self._context.clock
-            self.writer.end()
+            self.writer.close_write_side()
 
     def _is_overdue(self, since: float | None, cutoff: float) -> bool:
-        """Whether the peer should have sent before `cutoff` what it owes since `since`.
+        """Whether input that has been awaited since `since` was due before `cutoff`.
 
-        Unparsed bytes may be that, and have a little longer: a busy core is not the peer's fault.
+        Bytes that have not been parsed yet may be that input, so the deadline is extended while there are
+        some: the peer is not responsible for a busy CPU on this machine.
         """
         if since is None or since > cutoff:
             return False
-        return since <= cutoff - UNREAD_GRACE_S or not (self.is_parsing or self._has_unread_bytes())
+        return since <= cutoff - UNREAD_INPUT_GRACE_S or not (self.is_parsing or self._has_unread_bytes())
 
-    def _idles_too_long(self) -> bool:
+    def _has_idled_too_long(self) -> bool:
         idle_s = time.monotonic() - self.last_activity
         return idle_s > (self._context.idle_s or MAX_IDLE_S)
 
     def _has_partial_input(self) -> bool:
-        """Something has come of which the rest, or the meaning, is still to be seen."""
+        """Whether input has arrived that is incomplete or has not been parsed yet."""
         if self.is_parsing or self._partial_requests or self.partial_record_since is not None:
             return True
         return self._has_unread_bytes()
 
     def _has_unread_bytes(self) -> bool:
-        """Bytes have come that nobody has received.
+        """Whether the kernel has bytes that have not been received.
 
-        A connection that holds some is not idle, however long ago they came: a busy core may keep the reader
-        from them.
+        Such a connection is not idle, however long ago the bytes arrived: on a busy CPU the reader's thread
+        may be delayed.
         """
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # none; or the peer has cut it, and the reader will see that
+        except OSError:  # no bytes, or the peer has reset the connection, which the reader will notice
             return False
--- a/cairnvane/net/errors.py
+++ b/cairnvane/net/errors.py
@@ -1,7 +1,7 @@
-"""The base of this package's errors."""
+"""The base class of the errors of this package."""
 
 from __future__ import annotations
 
 
 class ProtocolError(Exception):
-    """A peer sent what its protocol does not allow, or what can't be read."""
+    """A peer sent data that violates its protocol or cannot be decoded."""
--- a/cairnvane/net/fastcgi.py
+++ b/cairnvane/net/fastcgi.py
@@ -1,4 +1,4 @@
-"""The codec of FastCGI 1.0, as far as a responder needs it: bytes to records and back, with no I/O."""
+"""The codec for the part of FastCGI 1.0 that a responder needs; it does no I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from .errors import ProtocolError
 
 VERSION = 1
-# Types of records.
+# Record types.
 BEGIN_REQUEST, ABORT_REQUEST, END_REQUEST, PARAMS, STDIN, STDOUT = 1, 2, 3, 4, 5, 6
 GET_VALUES, GET_VALUES_RESULT, UNKNOWN_TYPE = 9, 10, 11
-# The role that is served, the flag of a BEGIN_REQUEST, and the protocol statuses of an END_REQUEST.
+# The supported role, the flag of a BEGIN_REQUEST, and the protocol statuses of an END_REQUEST.
 RESPONDER = 1
 KEEP_CONN = 1
 REQUEST_COMPLETE, OVERLOADED, UNKNOWN_ROLE = 0, 2, 3
@@ -21,54 +21,60 @@
 _BEGIN = struct.Struct(">HB5x")  # role, flags
 _END = struct.Struct(">IB3x")  # application status, protocol status
 _LONG_LENGTH = struct.Struct(">I")
-# Lengths of names and values from here on take four bytes, of which the first has its top bit set.
+# Names and values of at least this length have a four-byte length field, in which the top bit is set.
 _FIRST_LONG_LENGTH = 128
 _LONG_LENGTH_FLAG = 0x80000000
 _LONG_LENGTH_MASK = 0x7FFFFFFF
 
 # In bytes. The parameters of a request are a dozen short fields; its body is at most 2 KiB.
-MAX_PARAMS = 8_192
-MAX_BODY = 2_048
-# A record of more than this can be part of no legal request.
-MAX_CONTENT = MAX_PARAMS
+MAX_PARAMS_BYTES = 8_192
+MAX_BODY_BYTES = 2_048
+# No legal request has a record with more content than this.
+MAX_CONTENT_BYTES = MAX_PARAMS_BYTES
 MAX_RECORD_OUT = 65_535
 
 
 class MalformedRecordError(ProtocolError):
-    """Bytes that no legal peer sends; the connection can't be read on from here."""
+    """Input that violates the protocol; nothing after it on the connection can be decoded."""
 
 
 class Record(NamedTuple):
-    """One record."""
+    """A FastCGI record."""
 
-    kind: int  # the type
+    kind: int  # the record type
     request: int  # the request's number; 0 for management records
     content: bytes
 
 
-def read_record(view: memoryview, at: int, have: int) -> tuple[Record, int] | None:
-    """The record that starts at `at`, and where the next one does; None if it is incomplete at `have`."""
-    if have - at < _HEADER.size:
+def read_record(view: memoryview, offset: int, size: int) -> tuple[Record, int] | None:
+    """Decode the record at `offset` of a buffer with `size` valid bytes.
+
+    Returns the record and the offset of the next one, or None if the record is incomplete.
+    """
+    if size - offset < _HEADER.size:
         return None
-    version, kind, request, length, padding = _HEADER.unpack_from(view, at)
+    version, kind, request, length, padding = _HEADER.unpack_from(view, offset)
     if version != VERSION:
-        raise MalformedRecordError(f"version {version}")
-    if length > MAX_CONTENT:
-        raise MalformedRecordError(f"a record of {length} bytes")
-    start = at + _HEADER.size
+        raise MalformedRecordError(f"unsupported protocol version {version}")
+    if length > MAX_CONTENT_BYTES:
+        raise MalformedRecordError(f"oversized record: {length} bytes of content")
+    start = offset + _HEADER.size
     end = start + length + padding
-    if end > have:
+    if end > size:
         return None
     return Record(kind, request, bytes(view[start : start + length])), end
 
 
 def record(kind: int, request: int, content: bytes) -> bytes:
-    """One record as bytes."""
+    """Encode one record."""
     return _HEADER.pack(VERSION, kind, request, len(content), 0) + content
 
 
 def decode_pairs(data: bytes) -> dict[str, str]:
-    """Decode name-value pairs; bytes that are not UTF-8 stay distinct, so that none match by mistake."""
+    """Decode name-value pairs.
+
+    Bytes that are not UTF-8 become surrogate escapes, so that different names never become equal.
+    """
     decoded: dict[str, str] = {}
     position = 0
     while position < len(data):
@@ -77,7 +83,7 @@
         name_end = position + name_length
         value_end = name_end + value_length
         if value_end > len(data):
-            raise MalformedRecordError("parameters cut short")
+            raise MalformedRecordError("truncated parameters")
         name = data[position:name_end].decode("utf-8", "surrogateescape")
         decoded[name] = data[name_end:value_end].decode("utf-8", "surrogateescape")
         position = value_end
@@ -85,15 +91,15 @@
 
 
 def _read_length(data: bytes, position: int) -> tuple[int, int]:
-    """The length of a name or value that is encoded at this position, and the position behind it."""
+    """Decode the length of a name or value; returns it and the position after it."""
     if position >= len(data):
-        raise MalformedRecordError("parameters cut short")
+        raise MalformedRecordError("truncated parameters")
     length = data[position]
     if length < _FIRST_LONG_LENGTH:
         return length, position + 1
     end = position + _LONG_LENGTH.size
     if end > len(data):
-        raise MalformedRecordError("parameters cut short")
+        raise MalformedRecordError("truncated parameters")
     return _LONG_LENGTH.unpack_from(data, position)[0] & _LONG_LENGTH_MASK, end
 
 
@@ -117,12 +123,12 @@
 
 
 def end(request: int, status: int = REQUEST_COMPLETE) -> bytes:
-    """The end of a request that has no (more) output."""
+    """Encode the END_REQUEST record of a request."""
     return record(END_REQUEST, request, _END.pack(0, status))
 
 
 def response(request: int, content: bytes) -> bytes:
-    """A whole response: its output, the end of the output, the end of the request."""
+    """Encode a complete response: the output, the end of the output and the end of the request."""
     records = [
         record(STDOUT, request, content[start : start + MAX_RECORD_OUT])
         for start in range(0, len(content), MAX_RECORD_OUT)
@@ -132,23 +138,23 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A request that is being read."""
+    """A request that is being received."""
 
     id: int
     keep_connection: bool  # the connection stays open after the response
-    begun: float  # when, on the connection's own clock
+    started_at: float  # time of the first record, by the server's clock for connections
     params: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    _stream: bytearray = field(default_factory=bytearray)  # of the parameters, then of the body
+    _stream: bytearray = field(default_factory=bytearray)  # content of the parameters, later of the body
     _has_params: bool = False
 
     def add(self, part: Record) -> bool:
-        """Add a PARAMS or STDIN record; True when the request is whole.
+        """Add a PARAMS or STDIN record; True if the request is now complete.
 
-        `MalformedRecordError` if the record is out of order or the request too long.
+        Raises `MalformedRecordError` if the record is out of order or the request is too long.
         """
         if (part.kind == STDIN) is not self._has_params:
-            raise MalformedRecordError("parameters and body out of order")
+            raise MalformedRecordError("PARAMS and STDIN records out of order")
         if part.content:
             self._add_content(part.content)
             return False
@@ -162,21 +168,21 @@
 
     def _add_content(self, content: bytes) -> None:
         self._stream += content
-        if len(self._stream) > (MAX_BODY if self._has_params else MAX_PARAMS):
-            raise MalformedRecordError("an oversized request")
+        if len(self._stream) > (MAX_BODY_BYTES if self._has_params else MAX_PARAMS_BYTES):
+            raise MalformedRecordError("oversized request")
 
 
-def parse_begin_request(opening: Record) -> tuple[int, bool]:
-    """The role that a BEGIN_REQUEST names, and whether the connection is to be kept open."""
-    if len(opening.content) != _BEGIN.size or opening.request == 0:
-        raise MalformedRecordError("a malformed BEGIN_REQUEST")
-    role, flags = _BEGIN.unpack(opening.content)
+def parse_begin_request(begin_record: Record) -> tuple[int, bool]:
+    """Decode a BEGIN_REQUEST; returns its role and whether the connection is to be kept open."""
+    if len(begin_record.content) != _BEGIN.size or begin_record.request == 0:
+        raise MalformedRecordError("malformed BEGIN_REQUEST")
+    role, flags = _BEGIN.unpack(begin_record.content)
     return role, bool(flags & KEEP_CONN)
 
 
-def management_reply(asked: Record, values: dict[str, str]) -> bytes:
-    """The answer to a management record: the values asked for, or that the type is unknown."""
-    if asked.kind != GET_VALUES:
-        return record(UNKNOWN_TYPE, 0, bytes([asked.kind]) + bytes(7))
-    answered = {name: values[name] for name in decode_pairs(asked.content) if name in values}
-    return record(GET_VALUES_RESULT, 0, encode_pairs(answered))
+def management_reply(query: Record, values: dict[str, str]) -> bytes:
+    """Encode the reply to a management record: the requested values, or UNKNOWN_TYPE."""
+    if query.kind != GET_VALUES:
+        return record(UNKNOWN_TYPE, 0, bytes([query.kind]) + bytes(7))
+    requested = {name: values[name] for name in decode_pairs(query.content) if name in values}
+    return record(GET_VALUES_RESULT, 0, encode_pairs(requested))
--- a/cairnvane/net/message_writer.py
+++ b/cairnvane/net/message_writer.py
@@ -1,4 +1,4 @@
-"""Writes whole messages to one peer, in order, without ever making the caller wait."""
+"""Writes complete messages to one peer, in order, without blocking the caller."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import threading
 from collections import deque
 
-# What a peer that does not read may leave waiting here, in bytes: an answer for each of 32 open requests.
+# Maximum number of bytes that are queued for a slow peer: a response to each of 32 open requests.
 MAX_BACKLOG_BYTES = 256 * 1024
-# A peer that takes nothing for so long is given up. Longer than a pause of the machine.
+# The connection is dropped if the peer accepts no data for this time. Longer than a pause of the machine.
 WRITE_TIMEOUT_S = 10
 
-_TIMEVAL = struct.Struct("ll")  # seconds and microseconds, as the kernel reads them
+_TIMEVAL = struct.Struct("ll")  # seconds and microseconds: the kernel's `struct timeval`
 
 
 def set_socket_timeout(sock: socket.socket, option: int, seconds: float) -> None:
-    """Bound a blocking socket's waits in the kernel (`SO_SNDTIMEO`, `SO_RCVTIMEO`).
+    """Set a timeout in the kernel (`SO_SNDTIMEO` or `SO_RCVTIMEO`) for a blocking socket.
 
-    The socket itself stays blocking.
+    The socket itself stays in blocking mode.
     """
     whole_seconds = int(seconds)
     microseconds = int((seconds - whole_seconds) * 1e6)
@@ -27,24 +27,24 @@
 
 
 class MessageWriter:
-    """One writer at a time, whole messages only, so that records never interleave.
+    """Serializes writes of complete messages, so that records of several threads never interleave.
 
-    The caller's own send writes what the socket has room for. What is left goes out from a thread that lives
-    as long as there is a backlog: a slow peer stalls neither the host nor any other connection.
+    `send` writes as much as the socket accepts at once. The rest is written by a thread that runs while there
+    is a backlog, so a slow peer delays neither the caller nor other connections.
     """
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
-        self._lock = threading.Lock()  # guards the backlog, the two flags, and the order of writes
+        self._lock = threading.Lock()  # guards the backlog, the two flags and the order of writes
         self._backlog: deque[bytes] = deque()
         self._backlog_size = 0
         self._is_broken = False
-        self._is_ending = False  # close our side once the backlog has left
-        self._drainer: threading.Thread | None = None
+        self._is_ending = False  # close our side once the backlog has been written
+        self._backlog_thread: threading.Thread | None = None
         set_socket_timeout(sock, socket.SO_SNDTIMEO, WRITE_TIMEOUT_S)
 
     def send(self, data: bytes) -> bool:
-        """Write, now or soon. False if the connection is lost, and with it the message."""
+        """Write the message now or queue it. False if the connection, and so the message, is lost."""
         with self._lock:
             if self._is_broken:
                 return False
@@ -55,52 +55,54 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self._break()
+                self._drop_connection()
                 return False
             if sent == len(data):
                 return True
-            return self._enqueue(data[sent:]) and self._start_drainer()
+            return self._enqueue(data[sent:]) and self._start_backlog_thread()
 
     @property
-    def waiting(self) -> bool:
-        """Something that was sent has not left yet."""
+    def has_backlog(self) -> bool:
+        """Whether queued data has not been written yet."""
         return bool(self._backlog)
 
     def cut(self) -> None:
-        """End the connection at once."""
+        """Drop the connection and its backlog at once."""
         with self._lock:
-            self._break()
+            self._drop_connection()
 
-    def end(self) -> None:
-        """Close our side of the connection, once what was sent has left."""
+    def close_write_side(self) -> None:
+        """Close our side of the connection once the backlog has been written."""
         with self._lock:
             self._is_ending = True
             if not self._backlog:
                 self._shut_down(socket.SHUT_WR)
 
-    def finish(self, timeout_s: float) -> None:
-        """End, and wait so long at the most until all has left."""
-        self.end()
-        if (drainer := self._drainer) is not None:
-            drainer.join(timeout_s)
+    def close_write_side_and_wait(self, timeout_s: float) -> None:
+        """Close our side, and wait at most `timeout_s` until the backlog has been written."""
+        self.close_write_side()
+        if (backlog_thread := self._backlog_thread) is not None:
+            backlog_thread.join(timeout_s)
 
-    # --- with the lock held
+    # --- called with the lock held
 
     def _enqueue(self, data: bytes) -> bool:
         if self._backlog_size + len(data) > MAX_BACKLOG_BYTES:
-            self._break()
+            self._drop_connection()
             return False
         self._backlog.append(data)
         self._backlog_size += len(data)
         return True
 
-    def _start_drainer(self) -> bool:
-        self._drainer = threading.Thread(target=self._drain, name="backlog writer", daemon=True)
+    def _start_backlog_thread(self) -> bool:
+        self._backlog_thread = threading.Thread(
+            target=self._write_backlog, name="backlog writer", daemon=True
+        )
         try:
-            self._drainer.start()
-        except RuntimeError:  # no more threads: this peer is given up, not the caller
-            self._drainer = None
-            self._break()
+            self._backlog_thread.start()
+        except RuntimeError:  # no thread can be started: drop this peer instead of failing the caller
+            self._backlog_thread = None
+            self._drop_connection()
             return False
         return True
 
@@ -111,19 +113,19 @@
         else:
             self._backlog[0] = message[sent:]
 
-    def _break(self) -> None:
+    def _drop_connection(self) -> None:
         self._is_broken = True
         self._backlog.clear()
-        self._shut_down(socket.SHUT_RDWR)  # wakes the reader, which closes it
+        self._shut_down(socket.SHUT_RDWR)  # wakes the reader, which closes the socket
 
     def _shut_down(self, how: int) -> None:
         with contextlib.suppress(OSError):
             self._sock.shutdown(how)
 
-    # --- the backlog's thread
+    # --- the backlog thread
 
-    def _drain(self) -> None:
-        """Write the backlog until none is left or the connection is lost."""
+    def _write_backlog(self) -> None:
+        """Write the backlog until it is empty or the connection is lost."""
         while True:
             with self._lock:
                 if not self._backlog:
@@ -133,11 +135,11 @@
                 message = self._backlog[0]
             try:
                 sent = self._sock.send(message)
-            except OSError:  # the bounded wait has run out, or the peer is gone
+            except OSError:  # write timeout, or the peer has disconnected
                 with self._lock:
-                    self._break()
+                    self._drop_connection()
                 return
             with self._lock:
-                if self._is_broken:  # cut meanwhile, which has emptied the backlog
+                if self._is_broken:  # aborted meanwhile, which has cleared the backlog
                     return
                 self._remove_sent(message, sent)
--- a/cairnvane/net/read_buffers.py
+++ b/cairnvane/net/read_buffers.py
@@ -1,4 +1,4 @@
-"""A pool of receive buffers of one size."""
+"""A pool of receive buffers of equal size."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-# Holds the largest legal record (`fastcgi.MAX_CONTENT`, header and padding) and a fair run of small ones.
+# In bytes. Holds the largest legal record (`fastcgi.MAX_CONTENT_BYTES`, header and padding) and several small
+# records.
 BUFFER_SIZE = 16_384
-# Idle buffers that are kept: enough for a usual set of connections, small beside the memory limit.
+# Enough for the usual number of connections, and small in relation to the memory limit.
 MAX_IDLE_BUFFERS = 64
 
 
 class BufferPool:
-    """Lends buffers of `BUFFER_SIZE` bytes; a returned one serves the next borrower."""
+    """Lends buffers of `BUFFER_SIZE` bytes, and reuses the returned ones."""
 
     def __init__(self) -> None:
         self._idle: list[bytearray] = []
@@ -21,7 +22,7 @@
 
     @contextmanager
     def lend(self) -> Iterator[memoryview]:
-        """A buffer for as long as the context lasts. Its old content is still in it."""
+        """A buffer for the duration of the context. It is not cleared before reuse."""
         with self._lock:
             buffer = self._idle.pop() if self._idle else bytearray(BUFFER_SIZE)
         try:
--- a/cairnvane/net/record_handler.py
+++ b/cairnvane/net/record_handler.py
@@ -1,4 +1,4 @@
-"""From the records of one connection to requests for the server's sink, and from responses to records."""
+"""Turns the records of one connection into requests for the server's sink, and responses into records."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Records of no request, one after the other: a balancer has a few for each of 32 that ended meanwhile. Who
-# sends more has nothing to say, and each costs.
+# Limit on consecutive records that belong to no open request. A balancer sends a few for each of 32 requests
+# that have ended meanwhile; more only cost CPU time, so the connection is then closed.
 MAX_STRAY_RECORDS = 256
 
 _REJECTION_STATUS = {
@@ -22,26 +22,26 @@
 
 
 class HandlerContext(Protocol):
-    """What the handling of records needs to know of the server."""
+    """The attributes of the server that the handler uses."""
 
     sink: RequestSink
-    response_counter: ResponseCounter | None  # counts final answers; None: nobody does
+    response_counter: ResponseCounter | None  # counts final responses; None: they are not counted
     retiring: bool
-    values: dict[str, str]  # the answers to FCGI_GET_VALUES
+    values: dict[str, str]  # replies to FCGI_GET_VALUES
 
 
 class RecordHandler:
-    """Acts on each record of a connection, and writes the answers."""
+    """Handles each record of a connection, and writes the responses."""
 
     def __init__(self, context: HandlerContext, lifecycle: ConnectionLifecycle) -> None:
-        self.has_served = False  # a request was answered 'served': a balancer's, as far as can be told
-        self.is_suspect = False  # something that came could not be right
+        self.has_served = False  # a request was served, which indicates that the peer is a balancer
+        self.is_suspect = False  # invalid data was received
         self._context = context
         self._lifecycle = lifecycle
-        self._stray_records = 0  # records of no request since the last whole request
+        self._stray_records = 0  # records of no open request since the last complete request
 
     def handle(self, record: fastcgi.Record) -> None:
-        """Act on one record; `MalformedRecordError` if no legal peer sends it here."""
+        """Handle one record; raises `MalformedRecordError` if it violates the protocol."""
         if record.request == 0:
             self._count_stray_record()
             self._lifecycle.writer.send(fastcgi.management_reply(record, self._context.values))
@@ -52,18 +52,18 @@
         elif record.kind in (fastcgi.PARAMS, fastcgi.STDIN):
             self._add_content(record)
         else:
-            raise fastcgi.MalformedRecordError(f"record type {record.kind}")
+            raise fastcgi.MalformedRecordError(f"unexpected record type {record.kind}")
 
     def fail(self, incoming: fastcgi.IncomingRequest) -> None:
-        """End a request that no balancer sends, before anyone else hears of it."""
+        """Answer an invalid or incomplete request as failed without passing it to the sink."""
         exchange = Exchange(lambda response: self._respond(incoming, response))
-        if self._owe_answer(incoming, exchange):
+        if self._register_exchange(incoming, exchange):
             exchange.respond(Response(ResponseStatus.FAILED, invalid_request=True))
 
     def abandon(self, number: int, exchange: Exchange) -> None:
-        """Answer an open request as failed, since the peer has ended its side, and let nothing run on for it.
+        """Answer an open request as failed and cancel its run, since the peer has closed its side.
 
-        Nothing is done if an answer is on its way already.
+        Does nothing if the request has already been answered.
         """
         if not exchange.abandon():
             return
@@ -75,30 +75,30 @@
         self._stray_records += 1
         if self._stray_records > MAX_STRAY_RECORDS:
             raise fastcgi.MalformedRecordError(
-                f"{self._stray_records} records of no request, one after the other"
+                f"{self._stray_records} consecutive records of no open request"
             )
 
     def _begin(self, record: fastcgi.Record) -> None:
         role, keep_connection = fastcgi.parse_begin_request(record)
         result = self._lifecycle.begin_request(record.request, role, keep_connection)
         if result is BeginResult.NUMBER_IN_USE:
-            raise fastcgi.MalformedRecordError(f"request {record.request} began twice")
+            raise fastcgi.MalformedRecordError(f"request number {record.request} is already in use")
         if result is not BeginResult.STARTED:
             self.is_suspect = True
             self._count_stray_record()
-            # Never handed over, so the promise that it never ran holds.
+            # It was never handed over, so the guarantee that a rejected request never ran holds.
             self._lifecycle.writer.send(fastcgi.end(record.request, _REJECTION_STATUS[result]))
 
     def _abort(self, number: int) -> None:
-        withdrawn = self._lifecycle.withdraw(number)
-        exchange = withdrawn.exchange
+        aborted = self._lifecycle.abort_request(number)
+        exchange = aborted.exchange
         if exchange is None:
             self._count_stray_record()
-        if not withdrawn.was_partial:
+        if not aborted.was_partial:
             if exchange is None or not exchange.abandon():
-                return  # answered already
+                return  # already answered
             self._notify_disconnected(exchange)
-        # Frees the number; no answer is owed.
+        # Frees the request number; an aborted request gets no response.
         self._lifecycle.close_request(number, fastcgi.end(number))
 
     def _notify_disconnected(self, exchange: Exchange) -> None:
@@ -113,18 +113,18 @@
             self._hand_over(incoming)
 
     def _hand_over(self, incoming: fastcgi.IncomingRequest) -> None:
-        class_name = ""  # until it is known
+        class_name = ""  # set once the request is registered
 
         def deliver(response: Response) -> None:
             self.has_served |= response.status is ResponseStatus.SERVED
-            # Counted before it goes out: whoever reads the figures after the answer has it in them.
+            # Counted before it is sent: a reader of the counters who has the response must find it counted.
             if class_name and (counter := self._context.response_counter) is not None:
                 counter.response_sent(class_name, response.status)
             self._respond(incoming, response)
 
-        check = request_parameters.health_check(incoming.params, deliver)
+        check = request_parameters.parse_health_check(incoming.params, deliver)
         if check is not None:
-            if self._owe_answer(incoming, check):
+            if self._register_exchange(incoming, check):
                 self._context.sink.health_check_arrived(check)
             return
         try:
@@ -133,15 +133,15 @@
             logger.error("invalid request failed: %s", error)
             self.fail(incoming)
             return
-        if self._owe_answer(incoming, request):
+        if self._register_exchange(incoming, request):
             class_name = request.class_name
             self._context.sink.request_arrived(request)
 
-    def _owe_answer(self, incoming: fastcgi.IncomingRequest, exchange: Exchange) -> bool:
-        is_owed = self._lifecycle.owe_answer(incoming, exchange)
-        if is_owed:
+    def _register_exchange(self, incoming: fastcgi.IncomingRequest, exchange: Exchange) -> bool:
+        is_registered = self._lifecycle.register_exchange(incoming, exchange)
+        if is_registered:
             self._stray_records = 0
-        return is_owed
+        return is_registered
 
     def _respond(self, incoming: fastcgi.IncomingRequest, response: Response) -> None:
         self.is_suspect |= response.invalid_request
--- a/cairnvane/net/request_parameters.py
+++ b/cairnvane/net/request_parameters.py
@@ -1,7 +1,7 @@
-"""The parameters of a request and the headers of a response: FastCGI's terms to exchange objects and back.
+"""Decodes the FastCGI parameters of a request into exchange objects, and encodes responses.
 
-Numbers are read strictly. Python's own `int` and `float` take more than the protocol does (`1_0`, `nan`,
-other scripts' digits, blanks), and whoever sends such a thing is no balancer.
+Numbers are parsed strictly: Python's `int` and `float` accept more than the protocol allows (`1_0`, `nan`,
+digits of other scripts, blanks), and no balancer sends such values.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 SERVICE_PATH = "/svc/"
 HEALTH_PATH = "/status/live"
-# What the field names of the protocol allow.
+# Limits of the protocol for request parameters.
 MAX_MEMORY_KB = 2_000.0
-MAX_CLIENT = 1e9
-# Timestamps come from this machine's own clock; one further in the future than this is made up.
-MAX_SKEW_US = 2_000_000
+MAX_CLIENT_NUMBER = 1e9
+# Timestamps come from this machine's own clock, so one that is further in the future than this is invalid.
+MAX_CLOCK_SKEW_US = 2_000_000
 
-# How much of a bad value is logged.
-_LOGGED_CHARACTERS = 40
+# Invalid values are logged up to this length.
+_MAX_LOGGED_CHARACTERS = 40
 
 _REQUEST_ID = re.compile(r"[0-9a-fA-F]{16}")
 _IDEMPOTENCY_KEY = re.compile(r"[0-9a-fA-F]{32}")
@@ -38,22 +38,22 @@
 
 
 class InvalidRequestError(ProtocolError):
-    """A well-framed request whose fields can't be right."""
+    """A correctly framed request with invalid parameters."""
 
 
-def _text(params: dict[str, str], name: str, pattern: re.Pattern[str]) -> str:
+def _matching_text(params: dict[str, str], name: str, pattern: re.Pattern[str]) -> str:
     text = params.get(name, "")
     if not pattern.fullmatch(text):
-        raise InvalidRequestError(f"{name}: malformed value {text[:_LOGGED_CHARACTERS]!r}")
+        raise InvalidRequestError(f"{name}: malformed value {text[:_MAX_LOGGED_CHARACTERS]!r}")
     return text
 
 
-def _integer(params: dict[str, str], name: str) -> int:
-    return int(_text(params, name, _INTEGER))
+def _parse_integer(params: dict[str, str], name: str) -> int:
+    return int(_matching_text(params, name, _INTEGER))
 
 
-def _decimal(params: dict[str, str], name: str) -> float:
-    return float(_text(params, name, _DECIMAL))
+def _parse_decimal(params: dict[str, str], name: str) -> float:
+    return float(_matching_text(params, name, _DECIMAL))
 
 
 def _require(is_in_range: bool, params: dict[str, str], name: str) -> None:
@@ -61,8 +61,8 @@
         raise InvalidRequestError(f"{name}: {params[name]} is out of range")
 
 
-def health_check(params: dict[str, str], deliver: Callable[[Response], None]) -> HealthCheck | None:
-    """The health check that these parameters ask for; None if they ask for something else."""
+def parse_health_check(params: dict[str, str], deliver: Callable[[Response], None]) -> HealthCheck | None:
+    """Decode a health check; None if the parameters are those of another request."""
     if params.get("SCRIPT_NAME") != HEALTH_PATH:
         return None
     query = parse_qs(params.get("QUERY_STRING", ""))
@@ -70,24 +70,24 @@
 
 
 def parse_request(params: dict[str, str], body: bytes, deliver: Callable[[Response], None]) -> Request:
-    """The request that these parameters and this body make; `InvalidRequestError` if they can't."""
-    class_name = _class_name(params)
+    """Decode a request; raises `InvalidRequestError` if a parameter is invalid."""
+    class_name = _parse_class_name(params)
     _check_method_and_length(params, body)
-    arrived_at, clock_skew = clock.to_monotonic(_integer(params, "HTTP_REQ_TIME"))
-    _require(clock_skew <= MAX_SKEW_US, params, "HTTP_REQ_TIME")
-    client = _integer(params, "HTTP_REQ_FROM")  # there is a balancer number 0
-    _require(client <= MAX_CLIENT, params, "HTTP_REQ_FROM")
-    memory_kb = _decimal(params, "HTTP_REQ_KB")
+    arrived_at, clock_skew = clock.to_monotonic(_parse_integer(params, "HTTP_REQ_TIME"))
+    _require(clock_skew <= MAX_CLOCK_SKEW_US, params, "HTTP_REQ_TIME")
+    client = _parse_integer(params, "HTTP_REQ_FROM")  # 0 is a valid balancer number
+    _require(client <= MAX_CLIENT_NUMBER, params, "HTTP_REQ_FROM")
+    memory_kb = _parse_decimal(params, "HTTP_REQ_KB")
     _require(0 < memory_kb < MAX_MEMORY_KB, params, "HTTP_REQ_KB")
-    if "HTTP_REQ_RANK" in params:  # checked only: nothing here goes by it
-        _require(_decimal(params, "HTTP_REQ_RANK") < 1, params, "HTTP_REQ_RANK")
-    # Ids and keys in one case: written in the other, they would be two.
+    if "HTTP_REQ_RANK" in params:  # only validated; its value is not used
+        _require(_parse_decimal(params, "HTTP_REQ_RANK") < 1, params, "HTTP_REQ_RANK")
+    # Ids and keys are normalized to lower case: hexadecimal digits may come in either case.
     idempotency_key = None
     if "HTTP_REQ_TOKEN" in params:
-        idempotency_key = _text(params, "HTTP_REQ_TOKEN", _IDEMPOTENCY_KEY).lower()
+        idempotency_key = _matching_text(params, "HTTP_REQ_TOKEN", _IDEMPOTENCY_KEY).lower()
     return Request(
         deliver,
-        _text(params, "HTTP_REQ_ID", _REQUEST_ID).lower(),
+        _matching_text(params, "HTTP_REQ_ID", _REQUEST_ID).lower(),
         class_name,
         body,
         arrived_at=arrived_at,
@@ -98,24 +98,26 @@
     )
 
 
-def _class_name(params: dict[str, str]) -> str:
+def _parse_class_name(params: dict[str, str]) -> str:
     path = params.get("SCRIPT_NAME", "")
     if not path.startswith(SERVICE_PATH):
-        raise InvalidRequestError(f"SCRIPT_NAME: {path[:_LOGGED_CHARACTERS]!r}")
+        raise InvalidRequestError(f"SCRIPT_NAME: unknown path {path[:_MAX_LOGGED_CHARACTERS]!r}")
     return path[len(SERVICE_PATH) :]
 
 
 def _check_method_and_length(params: dict[str, str], body: bytes) -> None:
     method = params.get("REQUEST_METHOD", "POST")
     if method != "POST":
-        raise InvalidRequestError(f"REQUEST_METHOD: {method[:_LOGGED_CHARACTERS]!r}")
+        raise InvalidRequestError(f"REQUEST_METHOD: unsupported method {method[:_MAX_LOGGED_CHARACTERS]!r}")
     length = params.get("CONTENT_LENGTH", "")
     if length not in ("", str(len(body))):
-        raise InvalidRequestError(f"CONTENT_LENGTH: {length[:_LOGGED_CHARACTERS]!r}, with {len(body)} bytes")
+        raise InvalidRequestError(
+            f"CONTENT_LENGTH: {length[:_MAX_LOGGED_CHARACTERS]!r}, with {len(body)} bytes"
+        )
 
 
 def encode_response(response: Response) -> bytes:
-    """A response as a CGI response."""
+    """Encode a response as CGI headers and body."""
     lines = [b"Status: " + _STATUS_LINES[response.status]]
     if response.load is not None:
         lines.append(b"Srv-Load: %.4f" % response.load)
--- a/cairnvane/net/server.py
+++ b/cairnvane/net/server.py
@@ -1,4 +1,4 @@
-"""The FastCGI server: the listener, and which connections may exist."""
+"""The FastCGI server: the listener and the limit on connections."""
 
 from __future__ import annotations
 
@@ -11,73 +11,75 @@
 
 from ..exchange import RequestSink, ResponseCounter
 from .accept_loop import accept_connections, hand_over
-from .connection import MAX_OPEN, Connection
+from .connection import MAX_OPEN_REQUESTS, Connection
 from .read_buffers import BufferPool
 
 logger = logging.getLogger(__name__)
 
-# The connections' deadlines are checked this often.
+# Interval of the checks of connection deadlines.
 DEADLINE_CHECK_INTERVAL_S = 0.5
-# The kernel's queue of connections that wait for `accept`; more than there are balancers.
-BACKLOG = 512
-# Connections that are being closed may exceed the maximum by so many, for a moment.
-MAX_CLOSING = 16
+# Length of the kernel's queue of connections to be accepted; larger than the number of balancers.
+ACCEPT_BACKLOG = 512
+# Connections that are being closed may briefly exceed the maximum by this number.
+MAX_CLOSING_CONNECTIONS = 16
 
 
 def _listen(address: tuple[str, int]) -> socket.socket:
-    """Listen at the address, beside another process where the kernel has `SO_REUSEPORT`.
+    """Listen at the address, shared with other processes if the kernel supports `SO_REUSEPORT`.
 
-    A new version of the program listens here too while this one serves on, and takes over. Where the option
-    is not to be had, this process listens alone.
+    With the option, a new version of the program can listen at the same address and take over while this one
+    still serves. Without it, this process listens exclusively.
     """
     try:
-        return socket.create_server(address, backlog=BACKLOG, reuse_port=True)
+        return socket.create_server(address, backlog=ACCEPT_BACKLOG, reuse_port=True)
     except OSError as error:
         if error.errno == errno.EADDRINUSE:
             raise
-        logger.warning("SO_REUSEPORT unavailable, no later version can listen beside: %s", error.strerror)
-        return socket.create_server(address, backlog=BACKLOG)
+        logger.warning(
+            "SO_REUSEPORT unavailable, a new version cannot share the listen address: %s", error.strerror
+        )
+        return socket.create_server(address, backlog=ACCEPT_BACKLOG)
 
 
 class FastCgiServer:
-    """Listens for balancers, on `most` connections at a time."""
+    """Serves balancers on at most `max_connections` connections at a time."""
 
     def __init__(
         self,
         address: tuple[str, int],
         sink: RequestSink,
-        most: int,
+        max_connections: int,
         response_counter: ResponseCounter | None = None,
     ) -> None:
-        """Bind at once: `OSError` if the address can't be had."""
+        """Bind the address; raises `OSError` if that fails."""
         self.sink = sink
         self.response_counter = response_counter
         self.buffers = BufferPool()
-        self.idle_s = 0.0  # close connections that carried nothing for so long; 0: as late as allowed
+        self.idle_s = 0.0  # close connections after this idle time; 0: after `MAX_IDLE_S`
         self.retiring = False
-        # The time by which peers are judged. A pause of the machine counts as one interval at the most: they
-        # could write nothing meanwhile.
+        # In seconds; the deadlines of peers are measured by it. It advances by one interval at a time, so a
+        # pause of the machine, in which peers could send nothing, counts as one interval at most.
         self.clock = 0.0
         self.values = {
-            "FCGI_MAX_CONNS": str(most),
-            "FCGI_MAX_REQS": str(most * MAX_OPEN),
+            "FCGI_MAX_CONNS": str(max_connections),
+            "FCGI_MAX_REQS": str(max_connections * MAX_OPEN_REQUESTS),
             "FCGI_MPXS_CONNS": "1",
         }
-        self._max_connections = most
+        self._max_connections = max_connections
         self._connections: set[Connection] = set()
         self._connections_changed = threading.Condition()  # its lock guards the set of connections
         self._socket = _listen(address)
         self.address: tuple[str, int] = self._socket.getsockname()
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start the threads that accept connections and check their deadlines."""
         threading.Thread(target=self._accept_connections, name="listener", daemon=True).start()
         threading.Thread(target=self._watch_deadlines, name="connection deadlines", daemon=True).start()
 
     def retire(self, wait_s: float) -> None:
         """Accept no more connections, and close each one as soon as it has no open request.
 
-        Waits until all are closed, for `wait_s` seconds at the most; what is left then is ended.
+        Waits at most `wait_s` seconds until all are closed, then ends the remaining ones.
         """
         self.retiring = True
         self._accept_backlog()
@@ -85,51 +87,51 @@
             self._socket.shutdown(socket.SHUT_RDWR)
         self._socket.close()
         logger.info("takes no more connections")
-        for connection in self._all():
+        for connection in self._open_connections():
             connection.close_if_idle()
         with self._connections_changed:
             self._connections_changed.wait_for(lambda: not self._connections, wait_s)
-        for connection in self._all():
+        for connection in self._open_connections():
             connection.end()
 
     def _accept_backlog(self) -> None:
-        """Accept what the kernel has completed.
+        """Accept the connections in the kernel's queue.
 
-        A request may be whole on such a connection, and with the listener they would all be reset. The
-        listener's thread may accept some of them.
+        Such a connection may already hold a complete request, and closing the listener would reset it. The
+        listener's thread may accept some of them concurrently.
         """
-        with contextlib.suppress(OSError):  # no more of them
+        with contextlib.suppress(OSError):  # the queue is empty
             self._socket.setblocking(False)
-            for _ in range(BACKLOG):
+            for _ in range(ACCEPT_BACKLOG):
                 sock, _ = self._socket.accept()
                 hand_over(sock, self._start_connection, logger)
 
-    def _all(self) -> list[Connection]:
+    def _open_connections(self) -> list[Connection]:
         with self._connections_changed:
             return list(self._connections)
 
     def _watch_deadlines(self) -> None:
-        """The thread that ends overdue and idle connections."""
+        """Runs in the thread that ends overdue and idle connections."""
         while True:
             time.sleep(DEADLINE_CHECK_INTERVAL_S)
             self.clock += DEADLINE_CHECK_INTERVAL_S
-            for connection in self._all():
+            for connection in self._open_connections():
                 try:
                     connection.enforce_deadlines()
-                except Exception as error:  # one connection's fault must not leave all others unwatched
+                except Exception as error:  # one connection's error must not stop the checks of the others
                     logger.warning("deadline check failed: %s %s", type(error).__name__, error)
 
     def _accept_connections(self) -> None:
-        """The listener's thread."""
+        """Runs in the listener's thread."""
         accept_connections(self._socket, lambda: self.retiring, self._start_connection, logger)
 
     def _start_connection(self, sock: socket.socket) -> None:
         """Serve an accepted connection in a thread of its own, or close it if there is no capacity."""
         if not self._ensure_capacity():
-            sock.close()  # nothing ran, and the caller knows it at once
+            sock.close()  # nothing has run, and the client notices the close at once
             return
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)  # a vanished peer frees its place
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)  # detects peers that have vanished
         connection = Connection(self, sock)
         with self._connections_changed:
             self._connections.add(connection)
@@ -138,44 +140,44 @@
                 target=self._serve_connection, args=(connection,), name="connection reader", daemon=True
             ).start()
         except RuntimeError:
-            self._forget(connection)
+            self._remove_connection(connection)
             raise
-        if self.retiring:  # `retire` may have listed the connections before this one was there
+        if self.retiring:  # `retire` may have listed the connections before this one was added
             connection.close_if_idle()
 
     def _ensure_capacity(self) -> bool:
-        """Whether one more connection may exist, if need be in the place of another.
+        """Whether one more connection may be opened, if necessary after another one was evicted.
 
-        Guards the balancers' connections, and the descriptors of the pool and of calls, against clients that
-        connect by hundreds. The connection to be ended is one that waits for nothing and carried nothing for
-        the longest, those first on which nothing was ever served.
+        Protects the balancers' connections, and the file descriptors for the pool and for calls, against
+        clients that open hundreds of connections. The evicted connection is one without a pending response
+        that has been idle for the longest time; those that were never served a request are evicted first.
         """
         with self._connections_changed:
             count = len(self._connections)
             if count < self._max_connections:
                 return True
-            if count >= self._max_connections + MAX_CLOSING:
+            if count >= self._max_connections + MAX_CLOSING_CONNECTIONS:
                 return False
             candidates = sorted(self._connections, key=lambda c: (c.has_served, c.last_activity))
         if any(connection.evict() for connection in candidates):
             return True
-        # Who has sent half a request may be a client that drips, or a balancer at an unlucky moment: only the
-        # former make room.
+        # A connection with a partial request belongs to a client that sends slowly or to a balancer that is
+        # just sending. Only connections that were never served a request are evicted then.
         return any(
             connection.evict(even_if_partial=True) for connection in candidates if not connection.has_served
         )
 
     def _serve_connection(self, connection: Connection) -> None:
-        """The thread of one connection."""
+        """Runs in the thread of one connection."""
         try:
             connection.serve()
         finally:
             try:
                 connection.close()
             finally:
-                self._forget(connection)
+                self._remove_connection(connection)
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove_connection(self, connection: Connection) -> None:
         with self._connections_changed:
             self._connections.discard(connection)
             self._connections_changed.notify_all()
--- a/cairnvane/net/vault.py
+++ b/cairnvane/net/vault.py
@@ -1,4 +1,4 @@
-"""Calls to the vault: one call a connection, cancelled by closing it."""
+"""Calls to the vault: one call per connection, which is closed to cancel the call."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 logger = logging.getLogger(__name__)
 
 PATH = "/v2/read"
-# Threads that wait for their next call; as many as calls go out at once on a usual day.
+# Limit on idle threads that are kept for later calls: the usual number of concurrent calls.
 MAX_IDLE_THREADS = 16
-# A call whose deadline has passed still gets this attempt to connect: a timeout of 0 would mean "don't wait".
+# Minimum timeout for the connection attempt, also after the deadline: 0 would make the socket non-blocking.
 MIN_CONNECT_TIMEOUT_S = 0.001
 
-# Called with how a call ended, the reply's body, and how long it took in microseconds.
-Ended = Callable[[Outcome, bytes, int], None]
+# Called with the outcome of a call, the body of the reply and the duration in microseconds.
+CallEndedHandler = Callable[[Outcome, bytes, int], None]
 
 
 def classify_reply(reply: http.Reply) -> Outcome:
-    """What a reply proves. Only `X-Refused-Unseen` proves that the call never ran."""
+    """The outcome that a reply indicates. Only `X-Refused-Unseen` proves that the call never ran."""
     if reply.status == 200:
         return Outcome.OK
     if reply.headers.get("x-refused-unseen") == "1":
@@ -35,15 +35,15 @@
 
 
 class _ThreadPool:
-    """Threads for calls, used again: hundreds of calls a second would each pay for a new one."""
+    """Reuses threads for calls, since starting one for each of hundreds of calls per second is expensive."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()  # guards the number of idle threads
-        self._idle_threads = 0  # threads that wait, less the tasks that wait for them
+        self._idle_threads = 0  # idle threads minus queued tasks
         self._tasks: SimpleQueue[Callable[[], None]] = SimpleQueue()
 
     def run(self, task: Callable[[], None]) -> None:
-        """Run it now, in a thread that has nothing else to do; `RuntimeError` if there can be none."""
+        """Run a task at once in an idle or new thread; raises `RuntimeError` if no thread can be started."""
         with self._lock:
             has_idle_thread = self._idle_threads > 0
             if has_idle_thread:
@@ -54,7 +54,7 @@
             threading.Thread(target=self._run_tasks, args=(task,), name="vault call", daemon=True).start()
 
     def _run_tasks(self, task: Callable[[], None]) -> None:
-        """A thread: the first task, and then others until enough threads are idle."""
+        """Runs in each thread: the first task, then others, until enough threads are idle."""
         while True:
             task()
             with self._lock:
@@ -68,7 +68,7 @@
 
 
 class VaultCall:
-    """One call on its way, in a thread that it has for itself."""
+    """A call in progress, in a thread of its own."""
 
     def __init__(
         self,
@@ -76,52 +76,52 @@
         uid: str,
         body: bytes,
         timeout_us: int,
-        ended: Ended,
+        on_ended: CallEndedHandler,
     ) -> None:
-        """Start the call. `ended` is called once, from the call's thread, unless it is given up."""
+        """Start the call. `on_ended` is called once, from the call's thread, unless the call is cancelled."""
         self._address = address
         self._uid = uid
         self._body = body
         self._timeout_us = timeout_us
-        self._on_ended = ended
-        self._lock = threading.Lock()  # guards the cancellation against a connection that is being opened
+        self._on_ended = on_ended
+        self._lock = threading.Lock()  # guards the cancellation flag and the socket
         self._sock: socket.socket | None = None
         self._is_cancelled = False
         try:
             _threads.run(self._run)
-        except RuntimeError as error:  # no more threads: the call fails, not who asked for it
+        except RuntimeError as error:  # no thread can be started: fail the call, not the caller
             logger.error("vault call not started: %s", error)
-            ended(Outcome.UNREACHED, b"", 0)
+            on_ended(Outcome.UNREACHED, b"", 0)
 
     def cancel(self) -> None:
-        """Cancel the call by closing its connection. Its end is not reported any more."""
+        """Cancel the call by closing its connection. `on_ended` is not called any more."""
         with self._lock:
             self._is_cancelled = True
             if self._sock is not None:
                 with contextlib.suppress(OSError):
-                    self._sock.shutdown(socket.SHUT_RDWR)  # wakes the thread, which closes it
+                    self._sock.shutdown(socket.SHUT_RDWR)  # wakes the thread, which closes the socket
 
     def _run(self) -> None:
-        """The call's thread."""
+        """Runs in the call's thread."""
         start = time.monotonic()
         try:
             result, body = self._call(start + self._timeout_us / 1e6)
-        except Exception as error:  # a call that never ends would hold its request to the last
+        except Exception as error:  # without an outcome the request would wait until its deadline
             self._log_failure(error)
             result = Outcome.BROKEN
             body = b""
-        took_us = int((time.monotonic() - start) * 1e6)
+        duration_us = int((time.monotonic() - start) * 1e6)
         if not self._is_cancelled:
-            self._on_ended(result, body, took_us)
+            self._on_ended(result, body, duration_us)
 
     def _call(self, deadline: float) -> tuple[Outcome, bytes]:
-        # Not `create_connection`, which looks addresses up; the configuration has them as numbers.
+        # Not `create_connection`, which resolves names: the configuration has numeric addresses.
         with socket.socket(socket.AF_INET6 if ":" in self._address[0] else socket.AF_INET) as sock:
             try:
                 sock.settimeout(max(MIN_CONNECT_TIMEOUT_S, deadline - time.monotonic()))
                 sock.connect(self._address)
             except OSError:
-                return Outcome.UNREACHED, b""  # no connection, so nothing was sent on one
+                return Outcome.UNREACHED, b""  # nothing was sent without a connection
             with self._lock:
                 if self._is_cancelled:
                     return Outcome.UNREACHED, b""
@@ -131,8 +131,8 @@
             except TimeoutError:
                 return Outcome.TIMEOUT, b""
             except (OSError, http.InvalidReplyError) as error:
-                # A connection that breaks during a call proves nothing, nor does a reply that can't be read:
-                # the call may have run.
+                # The call may have run, both if the connection was lost during the call and if the reply is
+                # invalid.
                 if not self._is_cancelled:
                     self._log_failure(error)
                 return Outcome.BROKEN, b""
@@ -144,7 +144,7 @@
         return classify_reply(reply), reply.body
 
     def _exchange(self, sock: socket.socket, deadline: float) -> http.Reply | None:
-        """Send the request on a new connection, and read its reply; None if it is too late to send it."""
+        """Send the request on a new connection and read the reply; None if the deadline passed before."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         remaining_s = deadline - time.monotonic()
         if remaining_s <= 0:
--- a/cairnvane/net/worker_pool.py
+++ b/cairnvane/net/worker_pool.py
@@ -1,7 +1,7 @@
-"""The client of the worker pool: commands out, notices in.
+"""The client of the worker pool: sends commands and receives notices.
 
-The client only notifies its listener that a link is back (`PoolListener.linked`); the listener, which knows
-the state of each request, sends again what is needed.
+After a reconnect, the client only notifies its listener (`PoolListener.linked`); the listener knows the state
+of each request and sends the necessary commands again.
 """
 
 from __future__ import annotations
@@ -28,79 +28,81 @@
 
 logger = logging.getLogger(__name__)
 
-# The gauges are polled on the same machine. Without an answer in time the tick goes on without them, since a
-# late tick costs answers.
+# The pool is on the same machine. If its reply to a poll is late, the tick continues without the gauges,
+# since responses are lost when a tick is late.
 POLL_TIMEOUT_S = 0.04
-# A deep health check does real work beside many runs; a pool that does not do it in so long is stuck.
+# A deep health check does real work beside other runs; a pool that takes longer than this is stuck.
 VERIFY_TIMEOUT_S = 2.0
-# A replay of all 4,000 notices takes far less; a link that does not get so far is as good as lost.
+# A replay of all 4,000 notices takes far less time. A link that takes longer is treated as lost.
 SYNC_TIMEOUT_S = 10.0
 
 
 class PoolListener(Protocol):
-    """Who is notified of the pool's events, from the link's own thread."""
+    """Receives the pool's events, in the link's thread."""
 
     def finished(self, uid: str, code: str, took_us: int, result: bytes, pos: int) -> None:
-        """A run is over, says notice `pos`; `code` is one of `RUN_*`."""
+        """Handle the end of a run, reported by notice number `pos`; `code` is one of `RUN_*`."""
 
     def blocked(self, uid: str, body: bytes, pos: int) -> None:
-        """A run waits for a call, says notice `pos`."""
+        """Handle a run that waits for a call, reported by notice number `pos`."""
 
     def unknown(self, uid: str) -> None:
-        """The pool has no such request, and runs nothing for it."""
+        """Handle the pool's report that it has no request with this uid, and so no run for it."""
 
     def linked(self, link: int) -> None:
-        """Link number `link` is up, and all notices that an earlier one missed have been passed on."""
+        """Handle the new link number `link`; all notices missed on earlier links have been passed on."""
 
     def replaced(self) -> None:
-        """Another pool has come in the place of the one that had the runs so far."""
+        """Handle the replacement of the pool by another process, which has none of the earlier runs."""
 
 
 class WorkerPool:
-    """Sends commands on the link, and passes its notices on."""
+    """Sends commands on the link, and passes notices to the listener."""
 
-    def __init__(self, address: tuple[str, int], notices: PoolListener) -> None:
-        self.bound = threading.Event()  # a link was bound once: the pool is up
-        self.on_spawn: Callable[[str], None] | None = None  # notified of the class of each run that is sent
-        self._listener = notices
+    def __init__(self, address: tuple[str, int], listener: PoolListener) -> None:
+        self.bound = threading.Event()  # set once the first link has been bound
+        self.on_spawn: Callable[[str], None] | None = None  # called with the class name of each `spawn`
+        self._listener = listener
         self._questions = PendingQuestions()
         self._link = WorkerPoolLink(address, self)
 
     @property
     def pool_started_at(self) -> int | None:
-        """When the pool started, in microseconds of the monotonic clock; None before it was bound."""
+        """When the pool started, in microseconds of the monotonic clock; None before the first binding."""
         return self._link.pool_started_at
 
-    def resume(self, pos: int, started: int | None, same: SamePool) -> None:
-        """Before `start`: go on after notice `pos`, where an earlier incarnation left the pool.
+    def resume(self, position: int, pool_started_at: int | None, is_same_pool: SamePool) -> None:
+        """Continue after notice number `position`, the last one of an earlier incarnation.
 
-        Holds if it is still the pool that started then (`same` tells). Without this, a pool is assumed to
-        live and end with this process.
+        To be called before `start`. It applies only if the pool is still the same process, which
+        `is_same_pool` decides from the recorded start time. Without this call, the pool is assumed to start
+        and end with this process.
         """
-        self._link.resume(pos, started, same)
+        self._link.resume(position, pool_started_at, is_same_pool)
 
     def start(self) -> None:
         """Connect, and stay connected."""
         self._link.start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go over to the pool's new address. The old link serves until the new one is up."""
+        """Change to the pool's new address. The old link is used until the new one is up."""
         self._link.move(address)
 
-    # --- commands; each returns the number of the link on which it went out, 0 if on none
+    # --- commands; each returns the number of the link on which it was sent, 0 if there was none
 
-    def spawn(self, uid: str, lane: str, body: bytes) -> int:
-        """Run a request of the class named `lane`."""
+    def spawn(self, uid: str, class_name: str, body: bytes) -> int:
+        """Start a run for a request of the class `class_name`."""
         if self.on_spawn is not None:
-            self.on_spawn(lane)
-        return self._link.send(messages.spawn(uid, lane, body))
+            self.on_spawn(class_name)
+        return self._link.send(messages.spawn(uid, class_name, body))
 
-    def confirm(self, uid: str, lane: str, body: bytes) -> int:
-        """Ask whether the run of a request that is over goes on, by a `spawn` that can't start it.
+    def confirm(self, uid: str, class_name: str, body: bytes) -> int:
+        """Ask whether the run of a request that has ended still exists, by a `spawn` that can't start it.
 
-        If it goes on nothing happens, and its end is still to come. Else its end `late` is reported.
+        If the run exists, the command has no effect and its end is still to be reported. Otherwise the pool
+        reports the end `late`.
         """
-        return self._link.send(messages.spawn(uid, lane, body))
+        return self._link.send(messages.spawn(uid, class_name, body))
 
     def suspend(self, uid: str) -> int:
         """Cancel a run."""
@@ -110,22 +112,25 @@
         """Pass on the reply to a run's call."""
         return self._link.send(messages.supply(uid, body))
 
-    # --- questions; each is answered once, in another thread
+    # --- questions; each callback is called once, in another thread
 
-    def poll(self, then: Callable[[tuple[float, ...]], None]) -> None:
-        """Ask for the gauges; none are passed on if they don't come in time."""
-        self._ask(messages.POLL, POLL_TIMEOUT_S, lambda reply: then(reply.meters if reply else ()))
+    def poll(self, on_result: Callable[[tuple[float, ...]], None]) -> None:
+        """Request the gauges; `on_result` gets an empty tuple if there is no reply in time."""
+        self._ask(messages.POLL, POLL_TIMEOUT_S, lambda reply: on_result(reply.meters if reply else ()))
 
-    def sync(self, then: Callable[[bool], None]) -> None:
-        """Wait until all commands so far were acted on and notified; False if that can't be known."""
-        self._ask(messages.POLL, SYNC_TIMEOUT_S, lambda reply: then(reply is not None))
+    def sync(self, on_result: Callable[[bool], None]) -> None:
+        """Report when all earlier commands have been handled and their notices received.
 
-    def verify(self, then: Callable[[bool], None]) -> None:
-        """Ask for a deep health check's work; whether it succeeded."""
+        `on_result` gets False if that could not be determined.
+        """
+        self._ask(messages.POLL, SYNC_TIMEOUT_S, lambda reply: on_result(reply is not None))
+
+    def verify(self, on_result: Callable[[bool], None]) -> None:
+        """Request the work of a deep health check; `on_result` gets whether it succeeded."""
         self._ask(
             messages.VERIFY,
             VERIFY_TIMEOUT_S,
-            lambda reply: then(reply is not None and reply.code == RUN_SUCCEEDED),
+            lambda reply: on_result(reply is not None and reply.code == RUN_SUCCEEDED),
         )
 
     def _ask(self, action: str, timeout_s: float, on_reply: ReplyHandler) -> None:
@@ -133,21 +138,21 @@
         if not self._link.send(messages.question(action, echo)):
             self._questions.resolve(echo, None)
 
-    # --- notified by the link
+    # --- called by the link
 
     def link_bound(self, link: int) -> None:
-        """A link is up: notify the listener once the replay of missed notices is over."""
+        """Notify the listener of a new link once the replay of missed notices has ended."""
         self.bound.set()
 
-        def replay_over(is_known: bool) -> None:
-            if is_known:
+        def replay_ended(is_synced: bool) -> None:
+            if is_synced:
                 self._listener.linked(link)
 
-        # The replay comes before the answer to this question, which therefore marks its end.
-        self.sync(replay_over)
+        # The pool replies to this question after the replay, so the reply marks the end of the replay.
+        self.sync(replay_ended)
 
     def notice_received(self, notice: Notice, content: bytes) -> None:
-        """Pass a notice on to whom it concerns; other actions are ignored."""
+        """Pass a notice to the listener or to a pending question; unknown actions are ignored."""
         if notice.action == messages.FINISHED:
             self._listener.finished(notice.uid, notice.code, notice.duration_us, content, notice.pos)
         elif notice.action == messages.BLOCKED:
@@ -158,13 +163,13 @@
             self._command_failed(notice)
 
     def pool_replaced(self) -> None:
-        """Another pool has come in the place of the one before."""
+        """Notify the listener that another pool has replaced the earlier one."""
         self._listener.replaced()
 
     def _command_failed(self, notice: Notice) -> None:
         logger.warning("worker pool command not carried out: %s %s", notice.code, notice.uid)
         if notice.code == messages.SPAWN:
             self._listener.unknown(notice.uid)
-        elif notice.code == messages.VERIFY:  # no deep checks here: the link itself is the answer
+        elif notice.code == messages.VERIFY:  # the pool has no deep checks: that the link works is enough
             reply = Notice(messages.VERIFIED, code=RUN_SUCCEEDED)
             self._questions.resolve_all(messages.VERIFY, reply)
--- a/cairnvane/net/worker_pool_link.py
+++ b/cairnvane/net/worker_pool_link.py
@@ -1,4 +1,4 @@
-"""The connection to the worker pool: bound, read, and reconnected where it broke or the pool has moved."""
+"""The connection to the worker pool: binding, reading, and reconnecting after a loss or a new address."""
 
 from __future__ import annotations
 
@@ -16,106 +16,107 @@
 
 logger = logging.getLogger(__name__)
 
-# A link that can't be had is tried again this often: well inside any latency objective.
+# Delay between attempts to connect; far below any latency objective.
 RECONNECT_DELAY_S = 0.05
 CONNECT_TIMEOUT_S = 2.0
 
-# Whether the pool that started at the second time is the one recorded with the first; both in microseconds of
-# the monotonic clock, the recorded one None if it is not known.
+# Compares a recorded start time of the pool (None if unknown) with that of the present pool; True if both are
+# the same process. Times are in microseconds of the monotonic clock.
 SamePool = Callable[[int | None, int], bool]
 
 
 class LinkListener(Protocol):
-    """Who is notified by the link, from its own thread."""
+    """Receives the link's events, in the link's thread."""
 
     def link_bound(self, link: int) -> None:
-        """Link number `link` is up; the notices that an earlier one missed follow."""
+        """Handle the binding of link number `link`; notices missed on earlier links follow."""
 
     def notice_received(self, notice: Notice, content: bytes) -> None:
-        """A notice that was not received before."""
+        """Handle a notice that was not received before."""
 
     def pool_replaced(self) -> None:
-        """Another pool has come in the place of the one that had the runs so far."""
+        """Handle the replacement of the pool by another process, which has none of the earlier runs."""
 
 
 class WorkerPoolLink:
-    """The connection, and the thread that reads it."""
+    """The connection to the pool and the thread that reads it."""
 
     def __init__(self, address: tuple[str, int], listener: LinkListener) -> None:
         self.pool_started_at: int | None = None  # in microseconds of the monotonic clock
         self._listener = listener
         self._is_started = False
-        # Guards the address, the two counts and the two writers.
+        # Guards the address, the two counters and the two writers.
         self._lock = threading.Lock()
         self._address = address
-        self._moves = 0
+        self._address_changes = 0
         self._bound_links = 0
-        self._bound_writer: MessageWriter | None = None  # commands go out here
-        self._newest_writer: MessageWriter | None = None  # of the link that is read, bound or not
-        # Guards the position and the order of notices: after a move, two links may have some for a moment.
-        self._receiving = threading.Lock()
-        self._position = 0  # the number of the last notice
-        self._unreadable_after = -1  # the position at which a line could not be read
+        self._bound_writer: MessageWriter | None = None  # of the link on which commands are sent
+        self._newest_writer: MessageWriter | None = None  # of the link that is being read, bound or not
+        # Guards the position and the order of notices: after a change of address, two links may briefly
+        # deliver notices.
+        self._receive_lock = threading.Lock()
+        self._position = 0  # the number of the last notice that was received
+        self._unreadable_position = -1  # the position at which a line could not be read
         self._is_same_pool: SamePool | None = None
 
     def resume(self, position: int, pool_started_at: int | None, is_same_pool: SamePool) -> None:
-        """Before `start`: go on after this notice, if it is still the same pool."""
+        """Continue after notice number `position` if the pool is the same; to be called before `start`."""
         self._position = position
         self.pool_started_at = pool_started_at
         self._is_same_pool = is_same_pool
 
     def start(self) -> None:
-        """Connect, and stay connected."""
+        """Start the thread that connects and reconnects."""
         self._is_started = True
         threading.Thread(
             target=self._stay_connected,
-            args=(self._address, self._moves),
+            args=(self._address, self._address_changes),
             name="worker pool link",
             daemon=True,
         ).start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Go over to the pool's new address. The old link serves until the new one is up."""
+        """Change to the pool's new address. The old link is used until the new one is up."""
         with self._lock:
             if address == self._address:
                 return
             self._address = address
-            self._moves += 1
+            self._address_changes += 1
         if self._is_started:
             self.start()
 
     def send(self, line: bytes) -> int:
-        """Send a command; the number of the link on which it went out, 0 if on none."""
+        """Send a command; returns the number of the link on which it was sent, 0 if there was none."""
         with self._lock:
             writer = self._bound_writer
             link = self._bound_links
         return link if writer is not None and writer.send(line) else 0
 
-    # --- the thread of the links to one address
+    # --- run in the thread for the links to one address
 
-    def _stay_connected(self, address: tuple[str, int], moves: int) -> None:
-        """Connect and read again and again until the pool has moved on.
+    def _stay_connected(self, address: tuple[str, int], address_changes: int) -> None:
+        """Connect and read until the pool's address changes; reconnect whenever the link is lost.
 
-        The number of moves tells: the pool may come back to an address, and two threads would cut each
-        other's links without end.
+        Compares the number of changes, not the address: if the pool returned to an earlier address, two
+        threads would serve it and close each other's links forever.
         """
-        while moves == self._moves:
+        while address_changes == self._address_changes:
             try:
                 with socket.create_connection(address, CONNECT_TIMEOUT_S) as sock:
-                    self._read_link(sock, moves)
+                    self._read_link(sock, address_changes)
                 logger.info("worker pool link ended")
-            except Exception as error:  # whatever a line held: without this thread nothing is ever run again
+            except Exception as error:  # any error: if this thread ended, no run could be started any more
                 logger.warning("worker pool link lost: %s %s", type(error).__name__, error)
             time.sleep(RECONNECT_DELAY_S)
 
-    def _read_link(self, sock: socket.socket, moves: int) -> None:
+    def _read_link(self, sock: socket.socket, address_changes: int) -> None:
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         writer = MessageWriter(sock)
-        if not self._replace_newest(writer, moves):
+        if not self._replace_newest(writer, address_changes):
             return
         try:
-            with self._receiving:
+            with self._receive_lock:
                 writer.send(messages.bind(self._position))
             with sock.makefile("rb") as lines:
                 while line := lines.readline(messages.MAX_LINE_BYTES):
@@ -126,16 +127,16 @@
                     self._newest_writer = None
                     self._bound_writer = None
 
-    def _replace_newest(self, writer: MessageWriter, moves: int) -> bool:
-        """Make this the link that is read, and end the one before; False if the pool has moved meanwhile."""
+    def _replace_newest(self, writer: MessageWriter, address_changes: int) -> bool:
+        """Make this the current link and end the earlier one; False if the address has changed meanwhile."""
         with self._lock:
-            if moves != self._moves:
+            if address_changes != self._address_changes:
                 return False
             previous = self._newest_writer
             self._newest_writer = writer
-            self._bound_writer = None  # what is sent until the link is bound is sent again after it
+            self._bound_writer = None  # commands sent before the link is bound are repeated afterwards
         if previous is not None:
-            previous.cut()  # ends its thread; notices that it has read by now count
+            previous.cut()  # ends its thread; notices that it has already read are still handled
         return True
 
     def _receive(self, line: bytes, writer: MessageWriter) -> None:
@@ -143,10 +144,10 @@
         if received is None:
             return
         notice = received.notice
-        with self._receiving:
+        with self._receive_lock:
             if notice.pos:
                 if notice.pos <= self._position:
-                    return  # repeated after a break, and acted on before
+                    return  # repeated after a reconnect, and already handled
                 self._position = notice.pos
             if notice.action == messages.BOUND:
                 self._bind(notice, writer)
@@ -154,16 +155,16 @@
                 self._listener.notice_received(notice, received.content)
 
     def _decode(self, line: bytes) -> ReceivedNotice | None:
-        """The line's notice; None if the line is to be skipped."""
+        """Decode a line; None if it is to be skipped."""
         try:
             return messages.decode_notice(line)
         except messages.UnsupportedNoticeError as error:
             logger.warning("worker pool notice skipped, unsupported form: %s", error)
         except messages.UnreadableNoticeError as error:
-            # A notice may have been lost in it: a new link brings that again. If it comes no better a second
-            # time, it is skipped, for the sake of all that follow.
-            if self._unreadable_after != self._position:
-                self._unreadable_after = self._position
+            # The line may hold a notice, which the pool repeats on a new link. If it is unreadable again, it
+            # is skipped so that the following notices can be received.
+            if self._unreadable_position != self._position:
+                self._unreadable_position = self._position
                 raise
             logger.warning("worker pool notice skipped, unreadable twice: %s", error)
         return None
@@ -179,7 +180,7 @@
         self._listener.link_bound(link)
 
     def _identify_pool(self, started_at: int) -> None:
-        """See whose link it is: a new pool counts its notices from 1, and none of them may be skipped."""
+        """Detect a new pool: it numbers its notices from 1, and none of them may be skipped."""
         if self._is_same_pool is None or self._is_same_pool(self.pool_started_at, started_at):
             if self.pool_started_at is None:
                 self.pool_started_at = started_at
@@ -188,4 +189,4 @@
         self._listener.pool_replaced()
         if self._position:
             self._position = 0
-            raise messages.PoolReplacedError("a new pool, to be bound from its first notice on")
+            raise messages.PoolReplacedError("the pool was replaced; binding again from its first notice")
--- a/cairnvane/net/worker_pool_messages.py
+++ b/cairnvane/net/worker_pool_messages.py
@@ -1,6 +1,6 @@
-"""The codec of the worker pool's protocol: commands to lines of JSON, and lines to notices.
+"""The codec of the worker pool's protocol: encodes commands as lines of JSON, and decodes lines to notices.
 
-The words on the wire (actions, codes, field names) are known in this module alone.
+Only this module knows the names that are used on the wire (actions, codes, fields).
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from .errors import ProtocolError
 
-# A notice holds at most a 4 KiB result in base64 and a few words.
+# A notice contains at most a 4 KiB result in base64 and a few short fields.
 MAX_LINE_BYTES = 65_536
-# No run lasts so long; a figure beyond any can't be reckoned with.
+# Longer than any run; reported durations are limited to this, since extreme numbers break the arithmetic.
 MAX_DURATION_MS = 1e9
-# How the pool says that a run ended.
+# Codes for the end of a run.
 RUN_SUCCEEDED, RUN_FAILED, RUN_CANCELLED, RUN_NEVER_STARTED = "fine", "fault", "broken_off", "late"
 
-# Commands. `poll` and `verify` are answered with the echo that they carry.
+# Commands. The replies to `poll` and `verify` carry the echo of the command.
 BIND, SPAWN, SUSPEND, SUPPLY = "bind", "spawn", "suspend", "supply"
 POLL, VERIFY = "poll", "verify"
 # Notices.
@@ -28,30 +28,30 @@
 
 
 class WorkerPoolError(ProtocolError):
-    """The link to the worker pool can't go on as it is."""
+    """An error that ends the link to the worker pool, or makes it skip a line."""
 
 
 class TruncatedLineError(WorkerPoolError):
-    """A line without its end: the link was cut within it, or it is too long."""
+    """A line without a newline at its end: the link was lost within it, or it is too long."""
 
 
 class UnreadableNoticeError(WorkerPoolError):
-    """A line that is no JSON, or content that is no base64: a notice may be lost in it."""
+    """A line that is not JSON, or content that is not base64: it may be a damaged notice."""
 
 
 class UnsupportedNoticeError(WorkerPoolError):
-    """Sound JSON of a form that this version has no use for."""
+    """Valid JSON of a form that this version does not support."""
 
 
 class PoolReplacedError(WorkerPoolError):
-    """Another pool answered than the one whose notices were counted: the link has to be bound anew."""
+    """The pool is not the one whose notices were counted: the link has to be bound again."""
 
 
 class Notice(msgspec.Struct):
-    """Any message of the worker pool."""
+    """A message from the worker pool."""
 
     action: str
-    pos: int = 0  # the number of a numbered notice
+    pos: int = 0  # the notice's number; 0 for notices without one
     uid: str = ""
     code: str = ""
     wall_ms: float = 0.0
@@ -61,7 +61,7 @@
 
     @property
     def duration_us(self) -> int:
-        """The duration that the notice names, in microseconds, within the bounds of any run."""
+        """The reported duration in microseconds, limited to the range from 0 to `MAX_DURATION_MS`."""
         return int(min(max(0.0, self.wall_ms), MAX_DURATION_MS) * 1e3)
 
 
@@ -76,39 +76,39 @@
 
 
 def encode_command(command: dict[str, str | int]) -> bytes:
-    """A command as its line."""
+    """Encode a command as a line."""
     return msgspec.json.encode(command) + b"\n"
 
 
 def bind(position: int) -> bytes:
-    """Ask for all notices after this one."""
+    """Encode the command to send all notices after number `position`."""
     return encode_command({"action": BIND, "pos": position})
 
 
 def spawn(uid: str, class_name: str, body: bytes) -> bytes:
-    """Run a request."""
+    """Encode the command to run a request."""
     return encode_command({"action": SPAWN, "uid": uid, "lane": class_name, "content": _base64(body)})
 
 
 def suspend(uid: str) -> bytes:
-    """Cancel a run."""
+    """Encode the command to cancel a run."""
     return encode_command({"action": SUSPEND, "uid": uid})
 
 
 def supply(uid: str, body: bytes) -> bytes:
-    """Pass on the reply to a run's call."""
+    """Encode the command that passes the reply of a call to its run."""
     return encode_command({"action": SUPPLY, "uid": uid, "content": _base64(body)})
 
 
 def question(action: str, echo: str) -> bytes:
-    """Ask something (`POLL`, `VERIFY`) whose answer carries `echo`."""
+    """Encode a question (`POLL` or `VERIFY`) whose reply carries `echo`."""
     return encode_command({"action": action, "echo": echo})
 
 
 def decode_notice(line: bytes) -> ReceivedNotice:
-    """The notice of a line; a `WorkerPoolError` says what is wrong with it."""
+    """Decode a line; raises a `WorkerPoolError` if it is invalid."""
     if not line.endswith(b"\n"):
-        raise TruncatedLineError("a line that is cut short or too long")
+        raise TruncatedLineError("truncated or oversized line")
     try:
         notice = _decoder.decode(line)
         content = base64.b64decode(notice.content, validate=True)
--- a/cairnvane/net/worker_pool_questions.py
+++ b/cairnvane/net/worker_pool_questions.py
@@ -1,4 +1,4 @@
-"""Questions to the worker pool that are owed one reply each, within a time."""
+"""Pending questions to the worker pool: each gets one reply or a timeout."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from .worker_pool_messages import Notice
 
-# Gets the pool's reply, or None when the wait for it has run out.
+# Called with the pool's reply, or None after the timeout.
 ReplyHandler = Callable[[Notice | None], None]
 
 
@@ -19,15 +19,15 @@
 
 
 class PendingQuestions:
-    """The questions without a reply, by the echo that the reply carries. Safe to use from any thread."""
+    """The questions without a reply, by the echo that the reply will carry. Thread-safe."""
 
     def __init__(self) -> None:
-        self._lock = threading.Lock()  # guards the table and the counter
+        self._lock = threading.Lock()  # guards the questions and the counter
         self._questions: dict[str, _Question] = {}
         self._count = 0
 
     def add(self, action: str, timeout_s: float, on_reply: ReplyHandler) -> str:
-        """Wait for a reply from now on; the echo that it will carry."""
+        """Add a question and start its timeout; returns the echo that the reply will carry."""
         with self._lock:
             self._count += 1
             echo = f"{action}-{self._count}"
@@ -38,7 +38,7 @@
         return echo
 
     def resolve(self, echo: str, reply: Notice | None) -> None:
-        """Pass on the reply, unless the question has had one."""
+        """Pass the reply to the question's handler, unless it had one already."""
         with self._lock:
             question = self._questions.pop(echo, None)
         if question is not None:
@@ -46,6 +46,6 @@
             question.on_reply(reply)
 
     def resolve_all(self, action: str, reply: Notice) -> None:
-        """Pass on one reply to all questions of an action."""
+        """Pass one reply to all questions with this action."""
         for echo in [echo for echo in list(self._questions) if echo.startswith(action)]:
             self.resolve(echo, reply)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -50,12 +50,12 @@
         ("keyed: {}", ["keyed", "folder"]),
         ("log: {form: xml}", ["log.form", "'xml'"]),
         ("keyed: [", ["line 2"]),
-        ("keyed:", ["keyed: nothing stands"]),
+        ("keyed:", ["keyed: the section is empty"]),
         ("members: {listen: '10.0.0.4:1', key: short}", ["members.key: 5 bytes are not between 16 and 64"]),
         ("members: {listen: here, key: sixteen-and-more}", ["members.listen: 'here' is not HOST:PORT"]),
         (
             "members: {listen: '0.0.0.0:1', key: sixteen-and-more}",
-            ["members.listen", "no address that others"],
+            ["members.listen", "is not an address that other members can reach"],
         ),
         ("members: {listen: 'localhost:1', key: sixteen-and-more}", ["'localhost' is not an IPv4 address"]),
         (
--- a/tests/net/test_fastcgi_requests.py
+++ b/tests/net/test_fastcgi_requests.py
@@ -106,7 +106,7 @@
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        fastcgi.record(fastcgi.PARAMS, 1, bytes(fastcgi.MAX_CONTENT + 1)),
+        fastcgi.record(fastcgi.PARAMS, 1, bytes(fastcgi.MAX_CONTENT_BYTES + 1)),
         BEGIN + BEGIN,
         fastcgi.record(fastcgi.BEGIN_REQUEST, 1, b"\0\1"),
         fastcgi.record(99, 1, b""),
--- a/tests/net/test_message_writer.py
+++ b/tests/net/test_message_writer.py
@@ -30,7 +30,7 @@
         writer = MessageWriter(ours)
         messages = [bytes([n]) * 3_000 for n in range(40)]
         assert all(writer.send(message) for message in messages)
-        writer.end()  # only once all of it has left
+        writer.close_write_side()  # only once all of it has left
         assert theirs.recv(120_000, socket.MSG_WAITALL) == b"".join(messages)
         assert theirs.recv(1) == b""
 
@@ -60,10 +60,10 @@
     writer = MessageWriter(sock)  # type: ignore[arg-type]
     assert writer.send(b"message")
     assert sock.reached.wait(WAIT_S)
-    drainer = writer._drainer
-    assert drainer is not None
+    backlog_thread = writer._backlog_thread
+    assert backlog_thread is not None
     writer.cut()
     sock.go.set()
-    drainer.join(WAIT_S)
-    assert not drainer.is_alive() and not writer.waiting
+    backlog_thread.join(WAIT_S)
+    assert not backlog_thread.is_alive() and not writer.has_backlog
     assert not writer.send(b"more")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -462,7 +462,7 @@
     """
     link = pool._link
     with link._lock:
-        link._moves += 1
+        link._address_changes += 1
         newest_writer = link._newest_writer
     if newest_writer is not None:
         newest_writer.cut()
--- a/tests/server/test_connection_closing.py
+++ b/tests/server/test_connection_closing.py
@@ -122,7 +122,7 @@
         balancer, other = w.balancer(), w.balancer()
         balancer.send(1)
         assert held.reached.wait(WAIT_S)
-        for each in w.server._all():
+        for each in w.server._open_connections():
             if each.is_parsing:
                 each.end()
         held.go.set()
@@ -259,12 +259,12 @@
         data = balancer.request(2)
         balancer.sock.sendall(data[:PART_OF_A_REQUEST])
         dripping.sock.sendall(data[:PART_OF_A_REQUEST])
-        until(lambda: all(each.partial_record_since is not None for each in w.server._all()))
+        until(lambda: all(each.partial_record_since is not None for each in w.server._open_connections()))
         third = w.balancer()
         assert dripping.ended()
         w.serve(third, 3)
         third.sock.sendall(third.request(4)[:PART_OF_A_REQUEST])
-        until(lambda: all(each.partial_record_since is not None for each in w.server._all()))
+        until(lambda: all(each.partial_record_since is not None for each in w.server._open_connections()))
         assert w.balancer().ended()
         balancer.sock.sendall(data[PART_OF_A_REQUEST:])
         w.pool.run(b"done")
