--- a/cairnvane/net/connection_lifecycle.py
+++ b/cairnvane/net/connection_lifecycle.py
@@ -228,7 +228,7 @@
             if self._has_partial_input() and not even_if_partial:
                 return False
             self._end()
-        self.writer.cut()  # wakes the reader
+        self.writer.abort()  # wakes the reader
         return True
 
     def end(self) -> None:
--- a/cairnvane/net/message_writer.py
+++ b/cairnvane/net/message_writer.py
@@ -66,7 +66,7 @@
         """Whether queued data has not been written yet."""
         return bool(self._backlog)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Drop the connection and its backlog at once."""
         with self._lock:
             self._drop_connection()
--- a/cairnvane/net/worker_pool_link.py
+++ b/cairnvane/net/worker_pool_link.py
@@ -136,7 +136,7 @@
             self._newest_writer = writer
             self._bound_writer = None  # commands sent before the link is bound are repeated afterwards
         if previous is not None:
-            previous.cut()  # ends its thread; notices that it has already read are still handled
+            previous.abort()  # ends its thread; notices that it has already read are still handled
         return True
 
     def _receive(self, line: bytes, writer: MessageWriter) -> None:
--- a/tests/net/test_message_writer.py
+++ b/tests/net/test_message_writer.py
@@ -62,7 +62,7 @@
     assert sock.reached.wait(WAIT_S)
     backlog_thread = writer._backlog_thread
     assert backlog_thread is not None
-    writer.cut()
+    writer.abort()
     sock.go.set()
     backlog_thread.join(WAIT_S)
     assert not backlog_thread.is_alive() and not writer.has_backlog
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -465,7 +465,7 @@
         link._address_changes += 1
         newest_writer = link._newest_writer
     if newest_writer is not None:
-        newest_writer.cut()
+        newest_writer.abort()
     for thread in set(threading.enumerate()) - before:
         if thread.name == LINK_THREAD_NAME:
             thread.join(WAIT_S)
