--- a/cairnvane/net/connection.py
+++ b/cairnvane/net/connection.py
@@ -155,9 +155,9 @@
             self._handler.fail(incoming)
         self.close_if_idle()
 
-    def close_if_idle(self, asked: bool = False) -> bool:
+    def close_if_idle(self, requested: bool = False) -> bool:
         """End a connection without open requests if that was requested or it has been idle for too long."""
-        return self._lifecycle.close_if_idle(asked)
+        return self._lifecycle.close_if_idle(requested)
 
     def evict(self, even_if_partial: bool = False) -> bool:
         """End the connection at once to make room for another one.
--- a/cairnvane/net/connection_lifecycle.py
+++ b/cairnvane/net/connection_lifecycle.py
@@ -201,7 +201,7 @@
             overdue = [partial for partial in self._partial_requests.values() if partial.started_at <= cutoff]
         return Expired(connection, overdue)
 
-    def close_if_idle(self, asked: bool) -> bool:
+    def close_if_idle(self, requested: bool) -> bool:
         """End a connection without open requests if it should be closed; True if it has ended now.
 
         It should be closed if the peer requested that, the server retires, or it has been idle for too long.
@@ -210,7 +210,7 @@
             if self.state is ConnectionPhase.ENDED or self._open_exchanges:
                 return False
             if self.state is ConnectionPhase.SERVING:
-                is_wanted = asked or self._context.retiring or self._has_idled_too_long()
+                is_wanted = requested or self._context.retiring or self._has_idled_too_long()
                 if not is_wanted or self._has_partial_input():
                     return False
             self._end()  # the balancer then closes its side, which ends the reader's wait
--- a/cairnvane/net/record_handler.py
+++ b/cairnvane/net/record_handler.py
@@ -149,4 +149,4 @@
         self._lifecycle.close_request(incoming.id, data)
         is_closing = self._context.retiring or self._lifecycle.state is ConnectionPhase.ANSWERING
         if is_closing or not incoming.keep_connection:
-            self._lifecycle.close_if_idle(asked=not incoming.keep_connection)
+            self._lifecycle.close_if_idle(requested=not incoming.keep_connection)
--- a/tests/server/test_connection_closing.py
+++ b/tests/server/test_connection_closing.py
@@ -70,7 +70,7 @@
         assert sleep.reached.wait(WAIT_S)
         balancer.send(2)
         assert w.connection.sock.recv(1, socket.MSG_PEEK)
-        assert not w.connection.close_if_idle(asked=True)
+        assert not w.connection.close_if_idle(requested=True)
         begin_retiring(w)
         assert not w.connection.close_if_idle()
         sleep.go.set()
