--- a/tests/net/test_connections.py
+++ b/tests/net/test_connections.py
@@ -1,4 +1,4 @@
-"""Balancers' connections: their maximum number, their deadlines, and how they end."""
+"""Balancers' connections: their maximum number, their deadlines and their closing."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 BEGIN = fastcgi.record(fastcgi.BEGIN_REQUEST, 1, b"\0\1\1\0\0\0\0\0")
 
 
-def test_new_connection_evicts_the_idlest() -> None:
-    """Regression: connections that carried nothing, or nothing lately, took all capacity."""
+def test_new_connection_evicts_the_longest_idle_one() -> None:
+    """Regression: idle connections, used or never used, occupied all capacity."""
     with world(most=3) as w:
         idle, busy, silent = w.balancer(), w.balancer(), w.balancer()
         w.serve(idle, 1)
@@ -52,12 +52,12 @@
     data: bytes,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: nothing bounded the time to the first or to the whole request."""
+    """Regression: there was no deadline for the first or for the complete request."""
     monkeypatch.setattr(connection, "REQUEST_TIMEOUT_S", 0.2)
     monkeypatch.setattr(server, "DEADLINE_CHECK_INTERVAL_S", 0.05)
     with world() as w:
         w.host._controller.idle_connections.clients.returning_fraction = (
-            1.0  # it does not want idle connections closed
+            1.0  # so that the controller does not close idle connections
         )
         bad, good = w.balancer(), w.balancer()
         w.serve(good, 1)
@@ -74,13 +74,13 @@
         balancer.send(2)
         uid = w.pool.next("spawn")["uid"]
         balancer.sock.sendall(BEGIN)
-        assert balancer.answer()[1].status == 500  # the other open request goes on
+        assert balancer.answer()[1].status == 500  # the other open request is not affected
         w.pool.notice("finished", uid, "fine", b"done")
         assert balancer.answer()[1].body == b"done"
 
 
-def test_peer_that_sends_on_after_the_end_is_cut_off() -> None:
-    """Regression: an ended connection was read for as long as its peer sent."""
+def test_peer_that_keeps_sending_after_the_end_is_disconnected() -> None:
+    """Regression: an ended connection was read as long as its peer kept sending."""
     with world() as w:
         bad, uid = w.running()
         bad.sock.sendall(bytes(65_536))
--- a/tests/net/test_fastcgi_requests.py
+++ b/tests/net/test_fastcgi_requests.py
@@ -1,4 +1,4 @@
-"""Requests over FastCGI: what a balancer sends, what the worker pool is asked, what the balancer reads."""
+"""Requests over FastCGI: a balancer's input, the commands to the worker pool, and the balancer's output."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_client_number_0_is_valid() -> None:
-    """Regression: 0 was once taken for invalid, and all requests of that balancer failed."""
+    """Regression: 0 was treated as invalid, and all requests of that balancer failed."""
     with world() as w:
         balancer = w.balancer()
         w.serve(balancer, 1, HTTP_REQ_FROM="0")
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("code", ["fault", "late", "broken_off"])
 def test_unsuccessful_run_is_answered_as_failed(code: str) -> None:
-    """Regression: a run that the pool ended by itself, with its client still connected, had no answer."""
+    """Regression: a run that the pool ended while its client was connected got no response."""
     with world() as w:
         balancer = w.balancer()
         balancer.send(1)
@@ -46,7 +46,7 @@
 def test_rejected_request_never_reaches_the_pool() -> None:
     with world() as w:
         balancer = w.balancer()
-        balancer.send(1, HTTP_REQ_KB="1900")  # more memory than there is beside its key
+        balancer.send(1, HTTP_REQ_KB="1900")  # more memory than remains beside its key
         number, answer = balancer.answer()
         assert (number, answer.status) == (1, 503)
         assert float(answer.headers.get("Srv-Load", "0")) >= 0
@@ -138,7 +138,7 @@
 def test_33rd_open_request_is_rejected_as_overloaded() -> None:
     with world() as w:
         balancer = w.balancer()
-        for number in range(1, 34):  # as yet without their bodies
+        for number in range(1, 34):  # their parameters and bodies are still missing
             balancer.sock.sendall(fastcgi.record(fastcgi.BEGIN_REQUEST, number, b"\0\1\1\0\0\0\0\0"))
         number, answer = balancer.answer()
         assert (number, answer.protocol) == (33, fastcgi.OVERLOADED)
@@ -147,11 +147,13 @@
 def test_management_records_are_answered() -> None:
     with world() as w:
         balancer = w.balancer()
-        asked = fastcgi.encode_pairs({"FCGI_MPXS_CONNS": "", "FCGI_NEVER": ""})
-        balancer.sock.sendall(fastcgi.record(fastcgi.GET_VALUES, 0, asked) + fastcgi.record(50, 0, b""))
-        said = fastcgi.record(fastcgi.GET_VALUES_RESULT, 0, fastcgi.encode_pairs({"FCGI_MPXS_CONNS": "1"}))
-        said += fastcgi.record(fastcgi.UNKNOWN_TYPE, 0, bytes([50]) + bytes(7))
-        assert balancer.read(len(said)) == said
+        query = fastcgi.encode_pairs({"FCGI_MPXS_CONNS": "", "FCGI_NEVER": ""})
+        balancer.sock.sendall(fastcgi.record(fastcgi.GET_VALUES, 0, query) + fastcgi.record(50, 0, b""))
+        expected = fastcgi.record(
+            fastcgi.GET_VALUES_RESULT, 0, fastcgi.encode_pairs({"FCGI_MPXS_CONNS": "1"})
+        )
+        expected += fastcgi.record(fastcgi.UNKNOWN_TYPE, 0, bytes([50]) + bytes(7))
+        assert balancer.read(len(expected)) == expected
 
 
 def test_abort_cancels_the_run_and_frees_the_request_number() -> None:
@@ -186,7 +188,7 @@
         assert balancer.answer()[1].status == status
 
 
-def test_deep_health_check_without_support_by_the_pool() -> None:
+def test_deep_health_check_succeeds_without_support_by_the_pool() -> None:
     with world() as w:
         balancer = w.balancer()
         balancer.send(1, "/status/live", b"", QUERY_STRING="real=1")
--- a/tests/net/test_idempotent_requests.py
+++ b/tests/net/test_idempotent_requests.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key: duplicates, their fingerprint, and the window of a result."""
+"""Requests with an idempotency key: duplicates, their fingerprint, and the retention window of a result."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
         assert w.pool.commands.empty()
 
 
-@pytest.mark.parametrize("ended", [False, True])
-def test_same_key_with_another_body_fails_and_disturbs_no_one(ended: bool) -> None:
-    """Regression: a duplicate was matched by its key alone, and got the result of another request."""
+@pytest.mark.parametrize("has_ended", [False, True])
+def test_same_key_with_another_body_fails_and_leaves_the_original_unaffected(has_ended: bool) -> None:
+    """Regression: a duplicate was matched by its key alone and got the result of another request."""
     with world() as w:
-        balancer, stranger = w.balancer(), w.balancer()
+        balancer, other_balancer = w.balancer(), w.balancer()
         balancer.send(1, **KEYED)
         uid = w.pool.next("spawn")["uid"]
-        if ended:
+        if has_ended:
             w.pool.notice("finished", uid, "fine", b"once")
             assert balancer.answer()[1].body == b"once"
-        stranger.send(2, body=b"another", **KEYED)
-        assert stranger.answer()[1].status == 500
+        other_balancer.send(2, body=b"another", **KEYED)
+        assert other_balancer.answer()[1].status == 500
         balancer.send(3, **KEYED)
-        if not ended:
+        if not has_ended:
             w.pool.notice("finished", uid, "fine", b"once")
             assert balancer.answer()[1].body == b"once"
         assert balancer.answer()[1].body == b"once"
@@ -46,22 +46,22 @@
 
 
 def test_key_of_a_request_unknown_to_the_pool_stays_free() -> None:
-    """Regression: the key of a request unknown to the pool was kept, and its owner's first attempt failed."""
+    """Regression: the key of a request unknown to the pool was kept, so a later attempt with it failed."""
     with world() as w:
-        stranger, balancer = w.balancer(), w.balancer()
-        stranger.send(1, body=b"made up", **KEYED)
+        other_balancer, balancer = w.balancer(), w.balancer()
+        other_balancer.send(1, body=b"made up", **KEYED)
         w.pool.tell(action="unknown", code="spawn", uid=w.pool.next("spawn")["uid"])
-        assert stranger.answer()[1].status == 500
+        assert other_balancer.answer()[1].status == 500
         w.serve(balancer, 2, **KEYED)
 
 
 def test_request_id_is_compared_without_regard_to_case() -> None:
     with world() as w:
-        balancer, stranger = w.balancer(), w.balancer()
+        balancer, other_balancer = w.balancer(), w.balancer()
         balancer.send(1, HTTP_REQ_ID="ab" * 8)
         uid = w.pool.next("spawn")["uid"]
-        stranger.send(2, HTTP_REQ_ID="AB" * 8, body=b"another")
-        assert stranger.answer()[1].status == 500
+        other_balancer.send(2, HTTP_REQ_ID="AB" * 8, body=b"another")
+        assert other_balancer.answer()[1].status == 500
         w.pool.notice("finished", uid, "fine", b"done")
         assert balancer.answer()[1].body == b"done"
 
@@ -104,15 +104,15 @@
     runs: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It does so too for an attempt that is read long after its arrival, when the window is over."""
+    """This also holds for an attempt that is read long after its arrival, when the window has ended."""
     with world() as w:
         balancer = w.balancer()
-        first = time.time_ns() // 1_000_000
-        w.serve(balancer, 1, **KEYED, HTTP_REQ_TIME=str(first))
-        real, later = clock.now, WINDOW_US + 2_000_000
-        monkeypatch.setattr(clock, "now", lambda: real() + later)
-        stamp = first - (later - WINDOW_US - beyond_us) // 1_000
-        balancer.send(2, **KEYED, HTTP_REQ_TIME=str(stamp))
+        first_arrival_ms = time.time_ns() // 1_000_000
+        w.serve(balancer, 1, **KEYED, HTTP_REQ_TIME=str(first_arrival_ms))
+        real_now, elapsed_us = clock.now, WINDOW_US + 2_000_000
+        monkeypatch.setattr(clock, "now", lambda: real_now() + elapsed_us)
+        arrival_ms = first_arrival_ms - (elapsed_us - WINDOW_US - beyond_us) // 1_000
+        balancer.send(2, **KEYED, HTTP_REQ_TIME=str(arrival_ms))
         if runs == 2:
             w.pool.run()
         assert balancer.answer()[1].status == 200
--- a/tests/net/test_vault_calls.py
+++ b/tests/net/test_vault_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a run to the vault: what is sent, which are retried, and how they are cancelled."""
+"""Calls of a run to the vault: their content, their retries and their cancellation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 KEYED: dict[str, Any] = {"path": "/svc/write", "HTTP_REQ_TOKEN": TOKEN}
 
 
-def test_call_passes_ticket_body_and_reply_on() -> None:
+def test_call_transfers_ticket_body_and_reply() -> None:
     with world(reply(200, b"\0reply")) as w:
         balancer = w.balancer()
         balancer.send(1)
@@ -31,7 +31,7 @@
 
 
 def test_empty_reply_is_supplied_again_after_a_reconnect() -> None:
-    """Regression: after a reconnect, an empty reply was taken for none, and the run was spawned again."""
+    """Regression: after a reconnect, an empty reply counted as missing, and the run was spawned again."""
     with world(reply(200)) as w:
         balancer = w.balancer()
         w.block(balancer)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "first", "calls"),
+    ("path", "first_reply", "calls"),
     [
         ("/svc/read", reply(500), 2),
         ("/svc/read", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut", 2),
@@ -55,10 +55,10 @@
 )
 def test_keyed_call_is_retried_only_if_it_provably_never_ran(
     path: str,
-    first: bytes,
+    first_reply: bytes,
     calls: int,
 ) -> None:
-    with world(first, reply(200, b"late")) as w:
+    with world(first_reply, reply(200, b"late")) as w:
         balancer = w.balancer()
         uid = w.block(balancer, path=path, HTTP_REQ_TOKEN=TOKEN if path == KEYED["path"] else "")
         for _ in range(calls):
@@ -79,14 +79,14 @@
         assert w.vault.closed.wait(WAIT_S)
 
 
-@pytest.mark.parametrize("left", [True, False])
-def test_run_blocked_at_its_call_is_suspended_when_its_request_ends(left: bool) -> None:
-    """Regression: a pool that does not see by itself that a request is over kept its run, and the memory."""
-    with world() as w:  # its vault answers no call
+@pytest.mark.parametrize("client_left", [True, False])
+def test_run_blocked_at_its_call_is_suspended_when_its_request_ends(client_left: bool) -> None:
+    """Regression: a pool that does not detect the end of a request by itself kept its run and the memory."""
+    with world() as w:  # the vault answers no call
         balancer = w.balancer()
         uid = w.block(balancer)
         w.vault.calls.get(timeout=WAIT_S)
-        if left:
+        if client_left:
             balancer.abort(1)
         else:
             w.host.drain(500_000)
@@ -96,15 +96,17 @@
 
 
 def test_refused_connection_proves_that_no_call_ran() -> None:
-    with socket.create_server(("127.0.0.1", 0)) as gone:
-        address = gone.getsockname()
-    ends: queue.Queue[Outcome] = queue.Queue()
-    vault.VaultCall(address, "0" * 16, b"", 1_000_000, lambda how, body, took: ends.put(how))
-    assert ends.get(timeout=WAIT_S) is Outcome.UNREACHED
+    with socket.create_server(("127.0.0.1", 0)) as closed_listener:
+        address = closed_listener.getsockname()
+    outcomes: queue.Queue[Outcome] = queue.Queue()
+    vault.VaultCall(
+        address, "0" * 16, b"", 1_000_000, lambda outcome, body, duration_us: outcomes.put(outcome)
+    )
+    assert outcomes.get(timeout=WAIT_S) is Outcome.UNREACHED
 
 
 @pytest.mark.parametrize(
-    ("status", "unseen", "how"),
+    ("status", "unseen", "outcome"),
     [
         (200, False, Outcome.OK),
         (503, True, Outcome.REJECTED),
@@ -116,6 +118,6 @@
         (302, False, Outcome.ERROR),
     ],
 )
-def test_outcome_of_a_reply(status: int, unseen: bool, how: Outcome) -> None:
+def test_outcome_of_a_reply(status: int, unseen: bool, outcome: Outcome) -> None:
     headers = {"x-refused-unseen": "1"} if unseen else {}
-    assert vault.classify_reply(http.Reply(status, headers, b"")) is how
+    assert vault.classify_reply(http.Reply(status, headers, b"")) is outcome
--- a/tests/net/test_worker_pool_link.py
+++ b/tests/net/test_worker_pool_link.py
@@ -24,23 +24,29 @@
         assert balancer.answer()[1].status == 200
 
 
-@pytest.mark.parametrize(("path", "token", "again"), [("/svc/read", "", True), ("/svc/write", TOKEN, False)])
-def test_only_idempotent_runs_are_spawned_again_after_a_reconnect(path: str, token: str, again: bool) -> None:
+@pytest.mark.parametrize(
+    ("path", "token", "is_repeated"), [("/svc/read", "", True), ("/svc/write", TOKEN, False)]
+)
+def test_only_idempotent_runs_are_spawned_again_after_a_reconnect(
+    path: str, token: str, is_repeated: bool
+) -> None:
     with world() as w:
         balancer = w.balancer()
         balancer.send(1, path, HTTP_REQ_TOKEN=token)
         uid = w.pool.next("spawn")["uid"]
-        w.pool.notice("finished", "f" * 16, "fine")  # of no request here, but its number counts
+        w.pool.notice("finished", "f" * 16, "fine")  # of an unknown request, but its notice number counts
         balancer.send(2, "/status/live", b"", QUERY_STRING="real=1")
         w.pool.tell(action="verified", echo=w.pool.next("verify")["echo"], code="fine")
-        assert balancer.answer()[1].status == 200  # so the notice before it was read
+        assert balancer.answer()[1].status == 200  # so the earlier notice has been read
         w.pool.cut()
         assert w.pool.next("bind")["pos"] == 1
-        if again:
+        if is_repeated:
             assert w.pool.next("spawn")["uid"] == uid
             in_flight = w.host._requests.find_uid(uid)
             assert in_flight is not None
-            until(lambda: not in_flight.is_repeat_unread)  # the pool has read it: the run ends after that
+            until(
+                lambda: not in_flight.is_repeat_unread
+            )  # the pool has read the repeated command, so the run ends after it
         w.pool.notice("finished", "f" * 16, "fine", again=True)
         w.pool.notice("finished", uid, "fine", b"done")
         assert balancer.answer()[1].body == b"done"
@@ -58,7 +64,7 @@
 
 
 def test_keyed_run_of_a_calling_class_is_spawned_again_after_a_reconnect() -> None:
-    """Regression: a run lost with the link was left to its deadline. It can't have ended without a call."""
+    """Regression: a run lost with the link was not repeated, although it can't have ended without a call."""
     with world(reply(200, b"reply")) as w:
         balancer = w.balancer()
         uid = w.block(balancer, **KEYED)
@@ -75,9 +81,10 @@
 
 
 def test_run_lost_with_its_link_frees_its_capacity_when_cancelled() -> None:
-    """Regression: no notice comes for a run that never began, and the controller counted it as running.
+    """Regression: the pool sends no notice for a run that never started, so it was counted as running.
 
-    That the pool is silent proves nothing (`tests/server/test_cancelled_runs.py`): it is asked, and says so.
+    A missing notice proves nothing (see `tests/server/test_cancelled_runs.py`), so the pool is asked whether
+    the run exists, and replies that it does not.
     """
     with world() as w:
         balancer = w.balancer()
@@ -92,9 +99,9 @@
         assert w.pool.next("spawn")["uid"] == uid
         assert 1 in w.host._controller.running
         w.pool.notice("finished", uid, "late")
-        w.serve(balancer, 3)  # its notice comes after that one
+        w.serve(balancer, 3)  # its notice comes after the one above
         assert 1 not in w.host._controller.running
-        balancer.send(4, **KEYED)  # the key is not free: that its run never began is not proven
+        balancer.send(4, **KEYED)  # the key stays claimed: it is not proven that its run never started
         assert balancer.answer()[1].status == 500
         assert w.pool.commands.empty()
 
@@ -106,10 +113,10 @@
         b"\xff\n",
         b'{"action":"finished","pos":1,"uid":"x","code":"fine","content":"?"}\n',
     ],
-    ids=["truncated JSON", "no UTF-8", "no base64"],
+    ids=["truncated JSON", "invalid UTF-8", "invalid base64"],
 )
 def test_unreadable_line_is_requested_once_more(line: bytes) -> None:
-    """Regression: it ended the link's thread for good, and nothing was run any more."""
+    """Regression: an unreadable line ended the link's thread, and no request was run any more."""
     with world() as w:
         w.pool.raw(line)
         assert w.pool.next("bind")["pos"] == 0
@@ -141,10 +148,10 @@
 
 
 def test_pool_moves_to_another_address_and_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: two threads served the address it came back to, and cut each other's links without end."""
-    is_back = threading.Event()
+    """Regression: two threads served the address it returned to and closed each other's links forever."""
+    has_returned = threading.Event()
     threads_before = set(threading.enumerate())
-    monkeypatch.setattr(worker_pool_link, "time", SimpleNamespace(sleep=lambda s: is_back.wait(WAIT_S)))
+    monkeypatch.setattr(worker_pool_link, "time", SimpleNamespace(sleep=lambda s: has_returned.wait(WAIT_S)))
     with world() as w:
         (first,) = [
             thread
@@ -156,7 +163,7 @@
         other.next("bind")
         w.host._pool.move(w.pool.address)
         w.pool.next("bind")
-        is_back.set()
+        has_returned.set()
         first.join(WAIT_S)
         assert not first.is_alive()
         w.serve(w.balancer(), 1)
