--- a/tests/server/test_connection_closing.py
+++ b/tests/server/test_connection_closing.py
@@ -70,7 +70,7 @@
         assert sleep.reached.wait(WAIT_S)
         balancer.send(2)
         assert harness.connection.sock.recv(1, socket.MSG_PEEK)
-        assert not harness.connection.close_if_idle(asked=True)
+        assert not harness.connection.close_if_idle(requested=True)
         begin_retiring(harness)
         assert not harness.connection.close_if_idle()
         sleep.go.set()
@@ -124,7 +124,7 @@
         balancer, other = harness.balancer(), harness.balancer()
         balancer.send(1)
         assert held.reached.wait(WAIT_S)
-        for each in harness.server._all():
+        for each in harness.server._open_connections():
             if each.is_parsing:
                 each.end()
         held.go.set()
@@ -261,12 +261,16 @@
         data = balancer.request(2)
         balancer.sock.sendall(data[:PARTIAL_REQUEST_BYTES])
         unserved.sock.sendall(data[:PARTIAL_REQUEST_BYTES])
-        until(lambda: all(each.partial_record_since is not None for each in harness.server._all()))
+        until(
+            lambda: all(each.partial_record_since is not None for each in harness.server._open_connections())
+        )
         third = harness.balancer()
         assert unserved.ended()
         harness.serve(third, 3)
         third.sock.sendall(third.request(4)[:PARTIAL_REQUEST_BYTES])
-        until(lambda: all(each.partial_record_since is not None for each in harness.server._all()))
+        until(
+            lambda: all(each.partial_record_since is not None for each in harness.server._open_connections())
+        )
         assert harness.balancer().ended()
         balancer.sock.sendall(data[PARTIAL_REQUEST_BYTES:])
         harness.pool.run(b"done")
