--- a/cairnvane/load_shedding/quota_leases.py
+++ b/cairnvane/load_shedding/quota_leases.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LeaseGrant:
     """Grants this amount for a lease that runs from the request on; 0 rejects the request."""
 
     line: int
@@ -68,14 +68,14 @@
     line: int
 
 
-Word = Ask | Grant | Back
+LeaseMessage = Ask | LeaseGrant | Back
 
 
 class Outgoing(NamedTuple):
     """A message, and the process that it is for."""
 
     recipient: int
-    message: Word
+    message: LeaseMessage
 
 
 class _GrantedAmount(NamedTuple):
@@ -185,7 +185,7 @@
         used = MARGIN if peak is None else peak + MARGIN
         return max(0.0, self.floor - max(KEPT * self.floor, used) - self.lent(now))
 
-    def note(self, now: int, in_flight: float, waiting: float) -> None:
+    def record_usage(self, now: int, in_flight: float, waiting: float) -> None:
         """Record the calls in flight, and those that wait for quota."""
         self._usage.record(now, in_flight)
         self._shortage = max(0.0, waiting)
@@ -274,7 +274,7 @@
         borrowed.requested_at = now
         return Ask(line, self._last_request, amount)
 
-    def _on_grant(self, lender: int, grant: Grant) -> None:
+    def _on_grant(self, lender: int, grant: LeaseGrant) -> None:
         borrowed = self._borrowed.get(grant.line)
         if borrowed is None or borrowed.lender != lender or borrowed.pending_request != grant.number:
             return  # of a request that was given up, or a duplicate
@@ -287,11 +287,11 @@
 
     # --- as a lender
 
-    def hear(self, now: int, life: int, word: Word) -> Grant | None:
+    def handle_message(self, now: int, life: int, word: LeaseMessage) -> LeaseGrant | None:
         """Handle a message of another process; returns the answer to it, if there is one."""
         if isinstance(word, Ask):
             return self._on_request(now, life, word)
-        if isinstance(word, Grant):
+        if isinstance(word, LeaseGrant):
             self._on_grant(life, word)
             return None
         lent = self._lent.get(_LentLine(life, word.line))
@@ -299,17 +299,17 @@
             lent.grants.clear()  # the borrower stopped using it before it released it
         return None
 
-    def _on_request(self, now: int, borrower: int, request: Ask) -> Grant:
+    def _on_request(self, now: int, borrower: int, request: Ask) -> LeaseGrant:
         lent = self._lent.setdefault(_LentLine(borrower, request.line), _Lent())
         if request.number in lent.grants:  # a duplicate: the same answer, and nothing more is lent
-            return Grant(request.line, request.number, lent.grants[request.number].amount)
+            return LeaseGrant(request.line, request.number, lent.grants[request.number].amount)
         if request.number < max(lent.grants, default=0):  # overtaken by a later request
-            return Grant(request.line, request.number, 0.0)
+            return LeaseGrant(request.line, request.number, 0.0)
         amount = self._grantable(now, lent, request)
         if amount < LEAST:
-            return Grant(request.line, request.number, 0.0)
+            return LeaseGrant(request.line, request.number, 0.0)
         lent.grants[request.number] = _GrantedAmount(amount, now + _lender_lease_us())
-        return Grant(request.line, request.number, amount)
+        return LeaseGrant(request.line, request.number, amount)
 
     def _grantable(self, now: int, lent: _Lent, request: Ask) -> float:
         """How much of a request can be granted on this line."""
--- a/cairnvane/testbed/experiments/shares.py
+++ b/cairnvane/testbed/experiments/shares.py
@@ -17,7 +17,7 @@
 from functools import partial
 from typing import Any, Self
 
-from ...load_shedding.quota_leases import Grant, QuotaLeases, Word
+from ...load_shedding.quota_leases import LeaseGrant, LeaseMessage, QuotaLeases
 from ..parallel import run_cases
 
 SECOND = 1_000_000
@@ -112,7 +112,9 @@
     def _push(self, at: int, task: Callable[[], None]) -> None:
         heapq.heappush(self._agenda, (at, next(self._order), task))
 
-    def _deliver(self, source: int, incarnation: int, to: int, to_incarnation: int, message: Word) -> None:
+    def _deliver(
+        self, source: int, incarnation: int, to: int, to_incarnation: int, message: LeaseMessage
+    ) -> None:
         server = self.servers[to]
         if server.incarnation != to_incarnation or not server.up:
             return
@@ -121,7 +123,7 @@
                 server.stalled_until, lambda: self._deliver(source, incarnation, to, to_incarnation, message)
             )
             return
-        answer: Grant | None = server.leases.hear(self.now, incarnation, message)
+        answer: LeaseGrant | None = server.leases.handle_message(self.now, incarnation, message)
         if answer is not None:
             self._send(to, source, lambda: self._deliver(to, to_incarnation, source, incarnation, answer))
 
@@ -133,7 +135,7 @@
         if not self._is_running(server):
             return
         cap = self.cap(number)
-        server.leases.note(self.now, min(server.demand, cap), server.demand - cap)
+        server.leases.record_usage(self.now, min(server.demand, cap), server.demand - cap)
         others = {
             self.servers[other].incarnation: spare
             for other, (at, spare) in server.announcements.items()
--- a/tests/load_shedding/test_quota_leases.py
+++ b/tests/load_shedding/test_quota_leases.py
@@ -18,9 +18,9 @@
     LEAST,
     Ask,
     Back,
-    Grant,
+    LeaseGrant,
+    LeaseMessage,
     QuotaLeases,
-    Word,
 )
 from cairnvane.testbed.experiments.shares import FLOOR, TROUBLES, World
 
@@ -29,20 +29,20 @@
 
 def lender_and_borrower() -> tuple[QuotaLeases, QuotaLeases]:
     lender, borrower = QuotaLeases(FLOOR, 0, first=True), QuotaLeases(FLOOR, 0, first=True)
-    lender.note(0, 1.0, 0.0)
-    borrower.note(0, FLOOR, 4.0)
+    lender.record_usage(0, 1.0, 0.0)
+    borrower.record_usage(0, FLOOR, 4.0)
     return lender, borrower
 
 
-def messages_to_lender(borrower: QuotaLeases, now: int, spare: float) -> list[Word]:
+def messages_to_lender(borrower: QuotaLeases, now: int, spare: float) -> list[LeaseMessage]:
     return [message for process, message in borrower.tick(now, {LENDER: spare}) if process == LENDER]
 
 
-def granted_lease() -> tuple[QuotaLeases, QuotaLeases, Ask, Grant]:
+def granted_lease() -> tuple[QuotaLeases, QuotaLeases, Ask, LeaseGrant]:
     lender, borrower = lender_and_borrower()
     (ask,) = messages_to_lender(borrower, 0, lender.spare(0))
     assert isinstance(ask, Ask)
-    grant = lender.hear(1_000, BORROWER, ask)
+    grant = lender.handle_message(1_000, BORROWER, ask)
     assert grant is not None and grant.amount > LEAST
     return lender, borrower, ask, grant
 
@@ -50,7 +50,7 @@
 def test_the_lender_counts_a_lease_from_before_until_after_the_borrower() -> None:
     lender, borrower, _, grant = granted_lease()
     assert lender.cap(1_000) == FLOOR - grant.amount and borrower.cap(1_000) == FLOOR
-    borrower.hear(2_000, LENDER, grant)
+    borrower.handle_message(2_000, LENDER, grant)
     assert borrower.cap(2_000) == FLOOR + grant.amount
     assert borrower.cap(LEASE_US - 1) > FLOOR and borrower.cap(LEASE_US) == FLOOR
     assert lender.cap(LEASE_US) < FLOOR and lender.cap(2 * LEASE_US) == FLOOR
@@ -58,24 +58,26 @@
 
 def test_a_late_or_duplicate_grant_adds_nothing() -> None:
     lender, borrower, ask, grant = granted_lease()
-    assert lender.hear(2_000, BORROWER, ask) == grant and lender.lent(2_000) == grant.amount  # a duplicate
+    assert (
+        lender.handle_message(2_000, BORROWER, ask) == grant and lender.lent(2_000) == grant.amount
+    )  # a duplicate
     borrower.tick(ANSWER_US, {})
-    borrower.hear(ANSWER_US + 1, LENDER, grant)
+    borrower.handle_message(ANSWER_US + 1, LENDER, grant)
     assert borrower.cap(ANSWER_US + 1) == FLOOR
 
 
 def test_an_expired_lease_is_not_used_and_its_line_is_released() -> None:
     lender, borrower, _, grant = granted_lease()
-    borrower.hear(2_000, LENDER, grant)
+    borrower.handle_message(2_000, LENDER, grant)
     woken = 10 * LEASE_US
     assert borrower.cap(woken) == FLOOR
     (release,) = [word for word in messages_to_lender(borrower, woken, 0.0) if isinstance(word, Back)]
-    assert lender.hear(woken, BORROWER, release) is None and lender.cap(woken) == FLOOR
+    assert lender.handle_message(woken, BORROWER, release) is None and lender.cap(woken) == FLOOR
 
 
 def test_a_new_process_begins_with_the_share_that_is_never_lent() -> None:
     lender, borrower, _, grant = granted_lease()
-    borrower.hear(2_000, LENDER, grant)
+    borrower.handle_message(2_000, LENDER, grant)
     restarted = QuotaLeases(FLOOR, 3_000)
     assert restarted.cap(3_000) == KEPT * FLOOR and restarted.spare(3_000) == 0
     assert restarted.cap(3_000) + borrower.cap(3_000) <= 2 * FLOOR
@@ -85,11 +87,11 @@
 
 def test_a_lender_whose_clients_are_back_renews_no_lease() -> None:
     lender, borrower, _, grant = granted_lease()
-    borrower.hear(2_000, LENDER, grant)
-    lender.note(3_000, lender.cap(3_000), 5.0)
+    borrower.handle_message(2_000, LENDER, grant)
+    lender.record_usage(3_000, lender.cap(3_000), 5.0)
     late = int(LEASE_US * 0.8)
     (renewal,) = [word for word in messages_to_lender(borrower, late, 0.0) if isinstance(word, Ask)]
-    rejected = lender.hear(late, BORROWER, renewal)
+    rejected = lender.handle_message(late, BORROWER, renewal)
     assert rejected is not None and rejected.amount == 0 and lender.spare(late) == 0
 
 
