--- a/cairnvane/load_shedding/__init__.py
+++ b/cairnvane/load_shedding/__init__.py
@@ -1,6 +1,6 @@
-"""Overload of a whole cluster: how its servers together stay within what they share.
+"""Cluster-wide load shedding: policies that keep all servers together within a shared limit.
 
-Decisions and state without I/O, a policy a module. `quota_leases`: the downstream dependency as one limit.
-`docs/load-shedding.md` weighs the alternatives. Nothing of it is wired into the server yet;
-`cairnvane lab shares` runs it in virtual time.
+Each module holds the decisions and the state of one policy, and does no I/O. `quota_leases` enforces a limit
+of calls to the downstream dependency. `docs/load-shedding.md` compares the alternatives. The server does not
+use this package yet; `cairnvane lab shares` runs it in virtual time.
 """
--- a/tests/load_shedding/test_quota_leases.py
+++ b/tests/load_shedding/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""The dependency as one limit: whatever is lost, late, frozen or killed, all quotas stay within it."""
+"""Quota leases keep all quotas within the limit despite lost or late messages, stalls and kills."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from cairnvane.cli import main
 from cairnvane.load_shedding import quota_leases
 from cairnvane.load_shedding.quota_leases import (
-    ANSWER_US,
-    KEPT,
     LEASE_US,
-    LEAST,
-    Ask,
-    Back,
+    MIN_LEASE_AMOUNT,
+    MIN_RESERVED_SHARE,
+    REQUEST_TIMEOUT_US,
     LeaseGrant,
     LeaseMessage,
+    LeaseRelease,
+    LeaseRequest,
     QuotaLeases,
 )
 from cairnvane.testbed.experiments.shares import FLOOR, TROUBLES, World
@@ -38,13 +38,13 @@
     return [message for process, message in borrower.tick(now, {LENDER: spare}) if process == LENDER]
 
 
-def granted_lease() -> tuple[QuotaLeases, QuotaLeases, Ask, LeaseGrant]:
+def granted_lease() -> tuple[QuotaLeases, QuotaLeases, LeaseRequest, LeaseGrant]:
     lender, borrower = lender_and_borrower()
-    (ask,) = messages_to_lender(borrower, 0, lender.spare(0))
-    assert isinstance(ask, Ask)
-    grant = lender.handle_message(1_000, BORROWER, ask)
-    assert grant is not None and grant.amount > LEAST
-    return lender, borrower, ask, grant
+    (lease_request,) = messages_to_lender(borrower, 0, lender.spare(0))
+    assert isinstance(lease_request, LeaseRequest)
+    grant = lender.handle_message(1_000, BORROWER, lease_request)
+    assert grant is not None and grant.amount > MIN_LEASE_AMOUNT
+    return lender, borrower, lease_request, grant
 
 
 def test_the_lender_counts_a_lease_from_before_until_after_the_borrower() -> None:
@@ -57,42 +57,52 @@
 
 
 def test_a_late_or_duplicate_grant_adds_nothing() -> None:
-    lender, borrower, ask, grant = granted_lease()
+    lender, borrower, lease_request, grant = granted_lease()
     assert (
-        lender.handle_message(2_000, BORROWER, ask) == grant and lender.lent(2_000) == grant.amount
+        lender.handle_message(2_000, BORROWER, lease_request) == grant and lender.lent(2_000) == grant.amount
     )  # a duplicate
-    borrower.tick(ANSWER_US, {})
-    borrower.handle_message(ANSWER_US + 1, LENDER, grant)
-    assert borrower.cap(ANSWER_US + 1) == FLOOR
+    borrower.tick(REQUEST_TIMEOUT_US, {})
+    borrower.handle_message(REQUEST_TIMEOUT_US + 1, LENDER, grant)
+    assert borrower.cap(REQUEST_TIMEOUT_US + 1) == FLOOR
 
 
 def test_an_expired_lease_is_not_used_and_its_line_is_released() -> None:
     lender, borrower, _, grant = granted_lease()
     borrower.handle_message(2_000, LENDER, grant)
-    woken = 10 * LEASE_US
-    assert borrower.cap(woken) == FLOOR
-    (release,) = [word for word in messages_to_lender(borrower, woken, 0.0) if isinstance(word, Back)]
-    assert lender.handle_message(woken, BORROWER, release) is None and lender.cap(woken) == FLOOR
+    resumed_at = 10 * LEASE_US
+    assert borrower.cap(resumed_at) == FLOOR
+    (release,) = [
+        message
+        for message in messages_to_lender(borrower, resumed_at, 0.0)
+        if isinstance(message, LeaseRelease)
+    ]
+    assert lender.handle_message(resumed_at, BORROWER, release) is None and lender.cap(resumed_at) == FLOOR
 
 
-def test_a_new_process_begins_with_the_share_that_is_never_lent() -> None:
+def test_a_new_process_starts_with_the_share_that_is_never_lent() -> None:
     lender, borrower, _, grant = granted_lease()
     borrower.handle_message(2_000, LENDER, grant)
     restarted = QuotaLeases(FLOOR, 3_000)
-    assert restarted.cap(3_000) == KEPT * FLOOR and restarted.spare(3_000) == 0
+    assert restarted.cap(3_000) == MIN_RESERVED_SHARE * FLOOR and restarted.spare(3_000) == 0
     assert restarted.cap(3_000) + borrower.cap(3_000) <= 2 * FLOOR
     assert restarted.cap(3_000 + 2 * LEASE_US) == FLOOR
-    assert grant.amount <= (1 - KEPT) * FLOOR and lender.cap(1_000) >= KEPT * FLOOR
+    assert (
+        grant.amount <= (1 - MIN_RESERVED_SHARE) * FLOOR and lender.cap(1_000) >= MIN_RESERVED_SHARE * FLOOR
+    )
 
 
-def test_a_lender_whose_clients_are_back_renews_no_lease() -> None:
+def test_a_lender_with_waiting_calls_renews_no_lease() -> None:
     lender, borrower, _, grant = granted_lease()
     borrower.handle_message(2_000, LENDER, grant)
     lender.record_usage(3_000, lender.cap(3_000), 5.0)
-    late = int(LEASE_US * 0.8)
-    (renewal,) = [word for word in messages_to_lender(borrower, late, 0.0) if isinstance(word, Ask)]
-    rejected = lender.handle_message(late, BORROWER, renewal)
-    assert rejected is not None and rejected.amount == 0 and lender.spare(late) == 0
+    renewal_time = int(LEASE_US * 0.8)
+    (renewal,) = [
+        message
+        for message in messages_to_lender(borrower, renewal_time, 0.0)
+        if isinstance(message, LeaseRequest)
+    ]
+    rejected = lender.handle_message(renewal_time, BORROWER, renewal)
+    assert rejected is not None and rejected.amount == 0 and lender.spare(renewal_time) == 0
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
@@ -111,17 +121,17 @@
 
 
 def _lender_lease_is_shorter(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(quota_leases, "DRIFT", -0.3)
+    monkeypatch.setattr(quota_leases, "MAX_CLOCK_DRIFT", -0.3)
 
 
 def _last_grant_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    def amount(self: quota_leases._Lent, now: int) -> float:
+    def amount(self: quota_leases._LentLease, now: int) -> float:
         return next(
             (granted.amount for granted in reversed(list(self.grants.values())) if now < granted.expires_at),
             0.0,
         )
 
-    monkeypatch.setattr(quota_leases._Lent, "amount", amount)
+    monkeypatch.setattr(quota_leases._LentLease, "amount", amount)
 
 
 @pytest.mark.parametrize(
@@ -132,7 +142,7 @@
         (_last_grant_counts, "loss"),
     ],
 )
-def test_without_one_of_its_rules_the_limit_is_exceeded(
+def test_a_mutant_without_one_safety_rule_exceeds_the_limit(
     mutant: Callable[[pytest.MonkeyPatch], None],
     trouble: str,
     monkeypatch: pytest.MonkeyPatch,
