--- a/cairnvane/administration/__init__.py
+++ b/cairnvane/administration/__init__.py
@@ -1,9 +1,10 @@
-"""The administration endpoint: a small HTTP/1.1 server for readiness, metrics, and a drain by call.
+"""The administration endpoint: a small HTTP/1.1 server for readiness, metrics and drains.
 
-Nothing here decides what is admitted. `readiness` holds what the operators asked for and what the process
-can do, `request_counters` the counts, `connection_slots` which connections may stay, `http_request` one
-request as it comes in, `endpoints` the answers, `http_server` the sockets, `drain_gate` the health checks
-while drained. The server's composition puts them in place only where a `control` address is configured.
+This package takes no part in admission control. `readiness` holds the drain state and reports whether the
+process can serve, `request_counters` counts requests, `connection_slots` bounds the open connections,
+`http_request` parses a request, `endpoints` produces the responses, `http_server` handles the sockets, and
+`drain_gate` fails health checks during a drain. The server sets them up only if a `control` address is
+configured.
 """
 
 from .readiness import Readiness
--- a/cairnvane/administration/connection_slots.py
+++ b/cairnvane/administration/connection_slots.py
@@ -1,7 +1,7 @@
-"""Which administration connections may stay, for how long, and which is evicted when no slot is free.
+"""Bounds the open administration connections: timeouts, and eviction when no slot is free.
 
-Decisions only, with no socket. Times are seconds of the monotonic clock. A connection is any object that its
-owner can close.
+This module decides only; it has no sockets. Times are seconds of the monotonic clock. A connection is
+represented by any hashable key.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 from enum import IntEnum
 from typing import Generic, NamedTuple, TypeVar
 
-# An answer is due within 1 s of the connection; a request that is not whole by then is too late for it.
+# A response is due within 1 s of the connection; a request that is incomplete by then times out.
 REQUEST_TIMEOUT_S = 1.0
-# A client that has its answer may read it for so long before the connection is closed for good.
+# After the response was sent, the client has this time to read it before the connection is closed.
 RESPONSE_READ_TIMEOUT_S = 0.5
-# With all slots taken, each new connection evicts another, and a silent client may come back at once: so many
-# a second are accepted, which costs under a tenth of a core, and 400 wait for 0.4 s.
+# While all slots are taken, each new connection evicts another one, and an evicted client may reconnect at
+# once. This rate costs under a tenth of a core, and 400 waiting connections are accepted within 0.4 s.
 MAX_ACCEPTS_PER_S = 1_000
-# Each has so long to send something before it may be evicted: an operator's request may follow its connection
-# a moment later. With the rate limit alone, clients that had sent half kept their slots, and new ones were
-# soon evicted.
+# A new connection is not evicted within this time, since an operator's request may follow a moment after its
+# connection. With the rate limit alone, clients that had sent part of a request kept their slots, and new
+# connections were soon evicted.
 EVICTION_GRACE_S = 0.1
-# The rate limit holds over so long: so many may be accepted at once.
+# The window of the rate limit; its tokens may be used in one burst.
 RATE_LIMIT_WINDOW_S = 0.032
 
 
 class Phase(IntEnum):
-    """How far a connection has come; the lowest is evicted first."""
+    """The progress of a connection; the lowest phase is evicted first."""
 
-    ANSWERED = 0  # it has its answer, and is only waited for to read it
+    ANSWERED = 0  # the response was sent; the client may still be reading it
     SILENT = 1  # nothing was received
-    PARTIAL = 2  # a part of its request was received
+    PARTIAL = 2  # part of the request was received
 
 
 Key = TypeVar("Key")
 
 
 class Expired(NamedTuple, Generic[Key]):
-    """A connection whose time is over, and how far it had come."""
+    """A connection that timed out, and its phase."""
 
     key: Key
     phase: Phase
@@ -66,7 +66,7 @@
         return len(self._slots)
 
     def accept_delay(self, now: float) -> float:
-        """For how many seconds no connection is to be accepted; 0: one may come now."""
+        """The seconds to wait before the next connection may be accepted; 0 if one may be accepted now."""
         if len(self._slots) < self._max_slots:
             return 0.0
         self._refill(now)
@@ -79,7 +79,7 @@
         self._refilled_at = now
 
     def add(self, key: Key, now: float) -> Key | None:
-        """Add a new connection, for which `accept_delay` was 0; the one that is evicted for it, if any."""
+        """Add a new connection after `accept_delay` returned 0; returns the evicted connection, if any."""
         evicted = None
         if len(self._slots) >= self._max_slots:
             self._tokens -= 1
@@ -90,40 +90,40 @@
         return evicted
 
     def eviction_candidate(self, now: float) -> Key | None:
-        """The connection to evict first, of those that have had the time to send something.
+        """The connection to evict first, among those whose grace period is over.
 
-        A whole request never waits, so none is ever rejected.
+        A complete request is answered at once, so eviction never rejects one.
         """
         candidates = (
             key
             for key, slot in self._slots.items()
             if slot.phase is Phase.ANSWERED or slot.since <= now - EVICTION_GRACE_S
         )
-        # `min` keeps the first of equals, which came first.
+        # Among equals, `min` returns the first, which is the oldest connection.
         return min(candidates, key=lambda key: self._slots[key].phase, default=None)
 
-    def request_begun(self, key: Key) -> None:
-        """A part of its request was received."""
+    def request_started(self, key: Key) -> None:
+        """Record that part of the request was received."""
         slot = self._slots[key]
         slot.phase = max(slot.phase, Phase.PARTIAL)
 
     def answered(self, key: Key, now: float) -> None:
-        """It has its answer."""
+        """Record that the response was sent."""
         slot = self._slots[key]
         slot.phase = Phase.ANSWERED
         slot.deadline = now + RESPONSE_READ_TIMEOUT_S
 
     def remove(self, key: Key) -> None:
-        """It is closed."""
+        """Free the slot of a closed connection."""
         self._slots.pop(key, None)
 
     def expire(self, now: float) -> list[Expired[Key]]:
-        """Remove and return the connections whose time is over."""
+        """Remove and return the connections that have timed out."""
         expired = [Expired(key, slot.phase) for key, slot in self._slots.items() if slot.deadline <= now]
         for connection in expired:
             del self._slots[connection.key]
         return expired
 
     def next_deadline(self) -> float | None:
-        """When the next connection's time is over; None without connections."""
+        """When the next connection times out; None without connections."""
         return min((slot.deadline for slot in self._slots.values()), default=None)
--- a/cairnvane/administration/drain_gate.py
+++ b/cairnvane/administration/drain_gate.py
@@ -1,6 +1,6 @@
-"""A request sink before the host's: counts requests, and fails health checks while the process is drained.
+"""A request sink in front of the host's: counts requests, and fails health checks during a drain.
 
-Only in place where there is an administration endpoint.
+It is used only if the administration endpoint is configured.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 
 class DrainGate:
-    """A `RequestSink` before the host's."""
+    """A `RequestSink` that wraps the host's."""
 
-    def __init__(self, host: RequestSink, duty: Readiness, tally: RequestCounters) -> None:
-        self._next_sink = host
-        self._readiness = duty
-        self._counters = tally
+    def __init__(self, next_sink: RequestSink, readiness: Readiness, counters: RequestCounters) -> None:
+        self._next_sink = next_sink
+        self._readiness = readiness
+        self._counters = counters
 
     def request_arrived(self, request: Request) -> None:
-        """Count a request that was read, and pass it on."""
+        """Count a request that was read, and forward it."""
         self._counters.request_accepted()
         self._next_sink.request_arrived(request)
 
     def client_disconnected(self, request: Request) -> None:
-        """Count a request whose client disconnected before its answer, and pass that on."""
+        """Count a request whose client disconnected before the response, and forward the event."""
         self._counters.client_disconnected()
         self._next_sink.client_disconnected(request)
 
     def health_check_arrived(self, check: HealthCheck) -> None:
-        """Reject a health check at once while drained, else pass it on."""
+        """Reject a health check at once while drained; otherwise forward it."""
         if self._readiness.drained:
             check.respond(Response(ResponseStatus.REJECTED))
         else:
--- a/cairnvane/administration/endpoints.py
+++ b/cairnvane/administration/endpoints.py
@@ -1,7 +1,6 @@
-"""The administration requests and their answers: no sockets here.
+"""The endpoints of the administration server and their responses, without sockets.
 
-2xx means yes, 4xx or 5xx means no. A drain or a resume that changes nothing is still a yes: the state asked
-for holds.
+A drain or a resume that changes nothing succeeds with 200, since the requested state holds.
 """
 
 from __future__ import annotations
@@ -32,7 +31,7 @@
     UNAVAILABLE: "Service Unavailable",
 }
 
-# How much of a path or method is repeated in an error.
+# The number of characters of a path or method that an error repeats.
 _SHOWN_PATH_CHARACTERS = 80
 _SHOWN_METHOD_CHARACTERS = 16
 
@@ -41,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a request."""
+    """The response to a request."""
 
     status: int
     body: bytes
-    allow: str = ""  # for 405: the method that the path takes
+    allow: str = ""  # for 405: the allowed method
     kind: str = "application/json"  # the content type
 
 
@@ -59,26 +58,26 @@
 
 
 def _rendered(view: object) -> Reply:
-    """A view's answer: bytes go out as text, all else as JSON."""
+    """The response of a view: bytes are sent as text, other values as JSON."""
     if isinstance(view, bytes):
         return Reply(OK, view, kind="text/plain")
     return _json(OK, view)
 
 
 class Endpoints:
-    """The four endpoints, and the views of further components."""
+    """The four built-in endpoints, and the views of other components."""
 
     def __init__(
         self,
-        duty: Readiness,
-        tally: RequestCounters,
+        readiness: Readiness,
+        counters: RequestCounters,
         views: Mapping[str, Callable[[], object]] | None = None,
         load: Callable[[], object] | None = None,
     ) -> None:
-        """`views` are called with each GET of their paths, `load` for the metrics' key of that name."""
+        """`views` maps paths to functions that answer GET; `load` supplies the `load` key of the metrics."""
         self._load = load
-        self._readiness = duty
-        self._counters = tally
+        self._readiness = readiness
+        self._counters = counters
         self._routes = {
             "/-/ready": _Route("GET", self._ready),
             "/-/metrics": _Route("GET", self._metrics),
@@ -89,7 +88,7 @@
             self._routes[path] = _view_route(view)
 
     def answer(self, method: str, target: str) -> Reply:
-        """The answer to one request; its query string is ignored."""
+        """The response to one request; the query string is ignored."""
         path = target.partition("?")[0]
         route = self._routes.get(path)
         if route is None:
@@ -105,13 +104,13 @@
         return _json(status, {"ready": is_ready, "drained": self._readiness.drained})
 
     def _metrics(self) -> Reply:
-        figures = self._counters.figures()
+        snapshot = self._counters.snapshot()
         return _json(
             OK,
             {
-                "requests": figures.requests,
-                "in_flight": figures.in_flight,
-                "attempts": figures.attempts,
+                "requests": snapshot.requests,
+                "in_flight": snapshot.in_flight,
+                "attempts": snapshot.attempts,
                 "ready": self._readiness.ready,
                 "drained": self._readiness.drained,
                 "drains": self._readiness.drains,
@@ -120,12 +119,12 @@
         )
 
     def _drain(self) -> Reply:
-        has_begun = self._readiness.drain()
-        return _json(OK, {"drained": True, "began": has_begun})
+        has_started = self._readiness.drain()
+        return _json(OK, {"drained": True, "began": has_started})
 
     def _resume(self) -> Reply:
         has_ended = self._readiness.resume()
-        if self._readiness.drained:  # shutting down: there is no resume from that
+        if self._readiness.drained:  # a shutdown cannot be resumed
             return _json(UNAVAILABLE, {"drained": True, "error": "the process is leaving"})
         return _json(OK, {"drained": False, "ended": has_ended})
 
--- a/cairnvane/administration/http_request.py
+++ b/cairnvane/administration/http_request.py
@@ -1,6 +1,6 @@
-"""An incremental parser of one HTTP/1.1 request: bytes to a method and a target, with no socket and no clock.
+"""An incremental parser of one HTTP/1.1 request, with no socket and no clock.
 
-A request to the administration endpoint is a line and a few headers; a body is counted and dropped.
+It extracts the method and the target; the body is counted and discarded.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 import re
 from dataclasses import dataclass
 
-# In bytes; the longest request that the operators' tools make has a few hundred.
-MAX_HEAD = 8_192
-MAX_BODY = 65_536
+# The longest request of the operators' tools has a few hundred bytes.
+MAX_HEAD_BYTES = 8_192
+MAX_BODY_BYTES = 65_536
 
 BAD_REQUEST = 400
 HEADER_FIELDS_TOO_LARGE = 431
@@ -21,7 +21,7 @@
 
 
 class InvalidHttpRequestError(Exception):
-    """What came is no HTTP/1.1 request; with the status to answer."""
+    """The data is not a valid HTTP/1.1 request; `status` is the status of the response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -30,31 +30,31 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request."""
+    """A complete request."""
 
     method: str
     target: str
 
 
 class RequestParser:
-    """What has come of one request."""
+    """Parses one request from the chunks in which it is received."""
 
     __slots__ = ("_body_remaining", "_head", "_request")
 
     def __init__(self) -> None:
         self._head = bytearray()
-        self._request: HttpRequest | None = None  # its head is whole, and its body is not
+        self._request: HttpRequest | None = None  # set once the head is complete
         self._body_remaining = 0  # bytes
 
     @property
-    def has_begun(self) -> bool:
-        """Something has come."""
+    def has_received_data(self) -> bool:
+        """Whether any data was received."""
         return self._request is not None or bool(self._head)
 
     def feed(self, data: bytes) -> HttpRequest | None:
-        """Add the next piece; the request once it is whole, and what stands behind it is not looked at.
+        """Add a chunk of data; returns the request once it is complete, and ignores any data after it.
 
-        `InvalidHttpRequestError` once the head is whole and can't be right, or is too long.
+        Raises `InvalidHttpRequestError` if the complete head is invalid, or the head is too long.
         """
         if self._request is None:
             self._feed_head(data)
@@ -63,12 +63,12 @@
         return self._request if self._body_remaining <= 0 else None
 
     def _feed_head(self, data: bytes) -> None:
-        # A client may drip: no byte is searched twice.
+        # A client may send single bytes: start where the last search ended, so that the cost stays linear.
         search_from = max(0, len(self._head) - len(_HEAD_END) + 1)
         self._head += data
         head_end = self._head.find(_HEAD_END, search_from)
         if head_end < 0:
-            if len(self._head) > MAX_HEAD:
+            if len(self._head) > MAX_HEAD_BYTES:
                 raise InvalidHttpRequestError(HEADER_FIELDS_TOO_LARGE, "the head is too long")
             return
         self._request, body_length = _parse_head(bytes(self._head[:head_end]))
@@ -77,7 +77,7 @@
 
 
 def _parse_head(head: bytes) -> tuple[HttpRequest, int]:
-    """The request of this head, and the length of its body in bytes."""
+    """Parse the head; returns the request and the length of its body in bytes."""
     request_line, *lines = head.split(b"\r\n")
     match = _REQUEST_LINE.fullmatch(request_line)
     if match is None:
@@ -92,7 +92,7 @@
         if name == b"transfer-encoding":
             raise InvalidHttpRequestError(BAD_REQUEST, "a transfer encoding, which the door does not speak")
         if name == b"content-length":
-            if _LENGTH.fullmatch(value) is None or int(value) > MAX_BODY:
+            if _LENGTH.fullmatch(value) is None or int(value) > MAX_BODY_BYTES:
                 raise InvalidHttpRequestError(BAD_REQUEST, "a content length that can't be")
             body_length = int(value)
     return HttpRequest(match[1].decode(), match[2].decode("latin-1")), body_length
--- a/cairnvane/administration/http_server.py
+++ b/cairnvane/administration/http_server.py
@@ -1,9 +1,9 @@
-"""The sockets of the administration endpoint: HTTP/1.1, one request per connection.
+"""The HTTP/1.1 server of the administration endpoint, with one request per connection.
 
-Each is answered within a second whatever the load. One thread serves all connections. A client that sends
-nothing, or half a request, costs a descriptor for `REQUEST_TIMEOUT_S` at the most, and is evicted earlier if
-its slot is wanted (`connection_slots`). A whole request is answered where it is read: no answer waits for
-anything, and each fits into the buffer of a socket that has sent nothing so far.
+Each request is answered within a second under any load. One thread serves all connections. A client that
+sends nothing, or only part of a request, holds a descriptor for at most `REQUEST_TIMEOUT_S`, and is evicted
+earlier if its slot is needed (`connection_slots`). A complete request is answered as soon as it is read: no
+response has to wait, and each fits into the empty send buffer of its socket.
 """
 
 from __future__ import annotations
@@ -23,26 +23,27 @@
 
 logger = logging.getLogger(__name__)
 
-# The kernel's queue: operators' connections stand in it behind silent clients that came back, and beyond it
-# the kernel drops a connection for a second. It holds no descriptor of ours.
+# The kernel's accept queue. Operators' connections wait in it behind reconnecting silent clients; when it is
+# full, the kernel drops a connection attempt, which delays it by a second. It uses no descriptor of the
+# process.
 BACKLOG = 1_024
-# Connections that have a slot; each holds a descriptor of those kept for the process's own use.
+# Limits for the number of open connections, which use descriptors that are reserved for the process itself.
 MAX_CONNECTIONS, MIN_CONNECTIONS = 128, 8
-# After a failed `accept` (no descriptors, say) the next attempt waits so long.
+# The delay after a failed `accept`, for example when no descriptor is free.
 ACCEPT_RETRY_S = 0.1
-# A connection is closed up to so long after its time, so that many of them are closed in one go.
+# Expired connections are closed up to this time late, so that many are closed in one pass.
 MIN_EXPIRY_WAIT_S = 0.05
-# A close of the server is seen within this time.
+# The maximum wait in the event loop, within which it notices a close of the server.
 MAX_WAIT_S = 1.0
 _CHUNK_BYTES = 4_096
 
 
-def connection_limit(own_sockets: int) -> int:
-    """How many connections may wait, of so many descriptors that are no balancer's.
+def connection_limit(reserved_descriptors: int) -> int:
+    """The maximum number of connections, given the descriptors that are not for balancers.
 
-    Half, since the links and each call of the vault need theirs.
+    Half of these, since the links and each call of the vault need descriptors too.
     """
-    return max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, own_sockets // 2))
+    return max(MIN_CONNECTIONS, min(MAX_CONNECTIONS, reserved_descriptors // 2))
 
 
 @dataclass(slots=True, eq=False)
@@ -53,23 +54,23 @@
 
 
 class AdministrationServer:
-    """Listens at the operators' address."""
+    """Serves the administration endpoint at its configured address."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        calls: Endpoints,
-        duty: Readiness,
-        most: int = MAX_CONNECTIONS,
-        call_wait_s: float = REQUEST_TIMEOUT_S,
+        endpoints: Endpoints,
+        readiness: Readiness,
+        max_connections: int = MAX_CONNECTIONS,
+        request_timeout_s: float = REQUEST_TIMEOUT_S,
     ) -> None:
-        """Bind at once: `OSError` if the address can't be had.
+        """Bind the address; raises `OSError` if that fails.
 
-        `most` connections may wait at a time, each of them `call_wait_s` for its request to be whole.
+        At most `max_connections` are open at a time. Each has `request_timeout_s` to send a complete request.
         """
-        self._endpoints = calls
-        self._readiness = duty
-        self._slots: ConnectionSlots[_Client] = ConnectionSlots(most, call_wait_s)
+        self._endpoints = endpoints
+        self._readiness = readiness
+        self._slots: ConnectionSlots[_Client] = ConnectionSlots(max_connections, request_timeout_s)
         self._socket = socket.create_server(address, backlog=BACKLOG)
         self._socket.setblocking(False)
         self.address: tuple[str, int] = self._socket.getsockname()
@@ -79,13 +80,13 @@
         self._accept_again_at = 0.0  # no new connection before this
 
     def start(self) -> None:
-        """Answer from now on."""
+        """Start the thread that serves the connections."""
         threading.Thread(target=self._serve, name="administration server", daemon=True).start()
 
     def shut_down(self) -> None:
-        """Shut down: not ready from now on, and health checks fail.
+        """Mark the process as shutting down: it is no longer ready, and health checks fail.
 
-        The administration endpoint stays open to the end, for the metrics.
+        The administration endpoint stays open until the process exits, for the metrics.
         """
         self._readiness.shut_down()
 
@@ -96,7 +97,7 @@
     # --- the thread
 
     def _serve(self) -> None:
-        """The server's thread."""
+        """Run the event loop until the server is closed."""
         while not self._is_closed:
             now = time.monotonic()
             self._set_accepting(now >= self._accept_again_at)
@@ -114,7 +115,7 @@
         self._socket.close()
 
     def _wait_s(self, now: float) -> float:
-        """Until the next connection's time is over or new ones may come again, `MAX_WAIT_S` at the most."""
+        """The time until the next connection expires or accepting may resume; at most `MAX_WAIT_S`."""
         deadlines = [self._slots.next_deadline()] if len(self._slots) else []
         if not self._is_accepting:
             deadlines.append(self._accept_again_at)
@@ -133,9 +134,9 @@
     # --- new connections
 
     def _accept(self) -> None:
-        """Accept as many connections as the rate limit lets.
+        """Accept as many connections as the rate limit allows.
 
-        Each is read at once, since most have sent their request by now.
+        Each is read at once, since most clients have already sent their request.
         """
         while True:
             now = time.monotonic()
@@ -157,14 +158,14 @@
         self._accept_again_at = now + ACCEPT_RETRY_S
         candidate = self._slots.eviction_candidate(now)
         if candidate is not None:
-            self._close_client(candidate)  # its descriptor may be what is wanted
+            self._close_client(candidate)  # frees a descriptor, in case none was left
 
     def _add_client(self, sock: socket.socket, now: float) -> None:
         client = _Client(sock)
         try:
             sock.setblocking(False)
             self._selector.register(sock, selectors.EVENT_READ, client)
-        except OSError as error:  # reset by now
+        except OSError as error:  # already reset
             logger.warning("accepted connection closed: %s", error)
             sock.close()
             return
@@ -176,9 +177,9 @@
     # --- requests and answers
 
     def _read_guarded(self, client: _Client) -> None:
-        """Read from a client whose faults must not take the server down."""
+        """Read from a client, and log any error: no client may stop the server."""
         if client.sock.fileno() < 0:
-            return  # it was evicted in this same round
+            return  # evicted earlier in this pass
         try:
             self._read(client)
         except Exception as error:
@@ -196,7 +197,7 @@
             self._close_client(client)
         elif not client.is_answered:
             self._feed(client, data)
-        # What comes behind a request is only read away, so that the close does not reset the answer.
+        # Data after the request is read and discarded: unread data would reset the connection on close.
 
     def _feed(self, client: _Client, data: bytes) -> None:
         try:
@@ -205,7 +206,7 @@
             self._answer(client, Reply(error.status, b'{"error":"%s"}' % str(error).encode()))
             return
         if request is None:
-            self._slots.request_begun(client)
+            self._slots.request_started(client)
         else:
             self._answer(client, self._endpoints.answer(request.method, request.target))
 
@@ -215,9 +216,9 @@
         self._close_client(client)
 
     def _answer(self, client: _Client, reply: Reply) -> None:
-        """Send the answer and close our side.
+        """Send the response and shut down the sending side of the connection.
 
-        The connection is closed once the client has closed its own side, or has had the time for it.
+        The connection is closed once the client has closed its side, or its time to read has expired.
         """
         client.is_answered = True
         if self._send(client, reply):
@@ -241,7 +242,7 @@
 
 
 def as_bytes(reply: Reply) -> bytes:
-    """The answer on the wire."""
+    """Encode a response as HTTP/1.1."""
     head = [
         f"HTTP/1.1 {reply.status} {REASONS.get(reply.status, '')}",
         f"Content-Type: {reply.kind}",
--- a/cairnvane/administration/readiness.py
+++ b/cairnvane/administration/readiness.py
@@ -1,8 +1,8 @@
-"""Whether this process is ready, drained by its operators, or shutting down: no I/O, no clock of its own.
+"""The readiness state of the process: ready, drained by an operator, or shutting down. No I/O, no clock.
 
-A drain by call is not a shutdown. The process serves on as before; only health checks fail, so that the
-platform takes it off the endpoint list, until the drain ends. What is admitted stays the controller's to
-decide.
+A requested drain is not a shutdown. The process continues to serve requests; only health checks fail, so that
+the platform removes it from the endpoint list until the drain ends. Admission is still decided by the
+controller.
 """
 
 from __future__ import annotations
@@ -12,42 +12,42 @@
 
 
 class Readiness:
-    """Ready, drained, shutting down: set from any thread, read from any thread."""
+    """The readiness state; it may be read and changed from any thread."""
 
     def __init__(self, can_serve: Callable[[], bool]) -> None:
-        # Whether the components that serve are up (the listener, the link to the pool); asked each time.
+        # Whether the serving components (listener, link to the pool) are up; called for each check.
         self._can_serve = can_serve
         self._lock = threading.Lock()  # guards the drain and its count
         self._is_drained = False
         self._is_shutting_down = False
-        self.drains = 0  # calls that began a drain, for the metrics
+        self.drains = 0  # requests that started a drain, for the metrics
 
     @property
     def drained(self) -> bool:
-        """Health checks are to fail."""
+        """Whether health checks must fail."""
         return self._is_drained or self._is_shutting_down
 
     @property
     def ready(self) -> bool:
-        """This process can serve, and is not shutting down."""
+        """Whether the process can serve and is not shutting down."""
         return not self._is_shutting_down and self._can_serve()
 
     def drain(self) -> bool:
-        """Begin a drain by call; False if one was under way already, which is no fault."""
+        """Start a drain; returns False if one was already active, which is not an error."""
         with self._lock:
-            has_begun = not self._is_drained
+            has_started = not self._is_drained
             self._is_drained = True
-            if has_begun:
+            if has_started:
                 self.drains += 1
-        return has_begun
+        return has_started
 
     def resume(self) -> bool:
-        """End the drain; False if there was none. A process that is shutting down stays drained."""
+        """End the drain; returns False if there was none. A process that is shutting down stays drained."""
         with self._lock:
             has_ended = self._is_drained
             self._is_drained = False
         return has_ended
 
     def shut_down(self) -> None:
-        """Shut down: never ready again, and health checks fail from now on."""
+        """Mark the process as shutting down: it is never ready again, and health checks fail."""
         self._is_shutting_down = True
--- a/tests/administration/test_administration_server.py
+++ b/tests/administration/test_administration_server.py
@@ -1,4 +1,4 @@
-"""The administration server: its endpoints, and clients that send nothing, half a request, or never read."""
+"""The administration server: endpoints, and clients that stay silent, send half a request or never read."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from cairnvane.exchange import ResponseStatus
 
 
-def test_endpoints_answer_with_status_and_figures() -> None:
+def test_endpoints_respond_with_status_and_metrics() -> None:
     with administration_server() as (server, readiness, counters):
         counters.request_accepted()
         counters.response_sent("read", ResponseStatus.SERVED)
         counters.run_started("read")
         counters.request_accepted()
         assert call(server.address, "GET", "/-/ready").status == 200
-        figures = json.loads(call(server.address, "GET", "/-/metrics").body)
-        assert figures["requests"]["read"] == {"served": 1, "refused": 0, "failed": 0, "attempts": 1}
-        assert (figures["in_flight"], figures["attempts"]) == (1, 1)
+        metrics = json.loads(call(server.address, "GET", "/-/metrics").body)
+        assert metrics["requests"]["read"] == {"served": 1, "refused": 0, "failed": 0, "attempts": 1}
+        assert (metrics["in_flight"], metrics["attempts"]) == (1, 1)
         assert call(server.address, "POST", "/-/drain").status == 200
         assert (
             readiness.drained and call(server.address, "POST", "/-/drain").status == 200
-        )  # a second drain is no fault
+        )  # a second drain is not an error
         assert call(server.address, "POST", "/-/resume").status == 200
         assert not readiness.drained
         wrong = call(server.address, "GET", "/-/drain")
         assert (wrong.status, wrong.headers["allow"]) == (405, "POST")
         assert call(server.address, "GET", "/-/nothing").status == 404
-        server.shut_down()  # shut down: no longer ready, and no resume from it
+        server.shut_down()  # not ready any more, and cannot be resumed
         assert call(server.address, "GET", "/-/ready").status == 503
         assert call(server.address, "POST", "/-/resume").status == 503
 
@@ -46,34 +46,34 @@
         assert call(server.address, "GET", "/-/ready").status == 503
 
 
-def test_silent_and_partial_clients_time_out_and_block_nobody() -> None:
+def test_silent_and_partial_clients_time_out_and_do_not_block_others() -> None:
     """Regression: a silent client held the one thread that serves all connections."""
     with administration_server() as (server, _, _):
         silent = socket.create_connection(server.address)
-        half = socket.create_connection(server.address)
-        half.sendall(b"GET /-/rea")
+        partial_client = socket.create_connection(server.address)
+        partial_client.sendall(b"GET /-/rea")
         assert call(server.address, "GET", "/-/ready").status == 200
-        half.settimeout(WAIT_S)
-        assert half.recv(64).startswith(b"HTTP/1.1 408 ")  # answered at its deadline
+        partial_client.settimeout(WAIT_S)
+        assert partial_client.recv(64).startswith(b"HTTP/1.1 408 ")  # answered at its deadline
         silent.settimeout(WAIT_S)
-        assert silent.recv(64) == b""  # closed at its deadline, owed nothing
+        assert silent.recv(64) == b""  # closed at its deadline without a response
         silent.close()
-        half.close()
+        partial_client.close()
 
 
 def test_requests_are_answered_while_silent_clients_hold_every_slot() -> None:
     """Regression: 242 of 269 requests got 503, since a silent connection held its slot for a second.
 
-    With a request timeout beyond the test's own time, no slot comes free by itself.
+    The request timeout exceeds the duration of the test, so that no slot is freed by a timeout.
     """
-    with administration_server(most=32, call_wait_s=WAIT_S * 100) as (server, _, _):
+    with administration_server(max_connections=32, request_timeout_s=WAIT_S * 100) as (server, _, _):
         stop = threading.Event()
 
         def reconnect(partial_request: bytes) -> None:
             while not stop.is_set():
                 with contextlib.suppress(OSError), socket.create_connection(server.address, WAIT_S) as sock:
                     sock.sendall(partial_request)
-                    sock.settimeout(0.05)  # to see now and then whether the test is over
+                    sock.settimeout(0.05)  # to check periodically whether the test is over
                     while not stop.is_set():
                         with contextlib.suppress(TimeoutError):
                             if not sock.recv(64):
@@ -91,18 +91,18 @@
                 thread.join()
 
 
-def test_client_that_never_reads_blocks_nobody() -> None:
-    with administration_server(most=4) as (server, _, _):
-        deaf = [socket.create_connection(server.address) for _ in range(8)]
-        for sock in deaf:
-            sock.sendall(b"GET /-/metrics HTTP/1.1\r\n\r\n" * 20)  # and sends on after its request
+def test_client_that_never_reads_does_not_block_others() -> None:
+    with administration_server(max_connections=4) as (server, _, _):
+        clients = [socket.create_connection(server.address) for _ in range(8)]
+        for sock in clients:
+            sock.sendall(b"GET /-/metrics HTTP/1.1\r\n\r\n" * 20)  # and more data after the request
         assert call(server.address, "GET", "/-/ready").status == 200
-        for sock in deaf:
+        for sock in clients:
             sock.close()
 
 
-def test_slots_are_half_of_the_own_descriptors() -> None:
-    assert [connection_limit(own) for own in (0, 64, 128, 1_000)] == [
+def test_connection_limit_is_half_of_the_reserved_descriptors() -> None:
+    assert [connection_limit(count) for count in (0, 64, 128, 1_000)] == [
         MIN_CONNECTIONS,
         32,
         64,
@@ -124,7 +124,7 @@
         assert sock.recv(64).startswith(b"HTTP/1.1 400 ")
 
 
-def test_drain_fails_health_checks_and_serves_on() -> None:
+def test_drain_fails_health_checks_and_continues_to_serve() -> None:
     with world() as w:
         readiness, counters = Readiness(lambda: True), RequestCounters(("read",))
         gate = DrainGate(w.host, readiness, counters)
@@ -138,7 +138,7 @@
         assert health.answer()[1].status == 503
         balancer = w.balancer()
         w.serve(balancer, 3)  # requests are still answered
-        assert counters.figures()[0]["read"]["served"] == 1 and counters.figures()[1] == 0
+        assert counters.snapshot()[0]["read"]["served"] == 1 and counters.snapshot()[1] == 0
         readiness.resume()
         health = w.balancer()
         health.send(4, path="/status/live", body=b"")
--- a/tests/administration/test_version_handover.py
+++ b/tests/administration/test_version_handover.py
@@ -1,4 +1,4 @@
-"""A later version of the program takes over on the same address, as two real processes."""
+"""Handover to a later version of the program on the same address, with two real processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def test_later_version_listens_on_the_same_address_and_takes_over(tmp_path: Path) -> None:
-    """Regression: the second process could not listen where the first one did, and exited with 2."""
+    """Regression: the second process could not bind the address of the first and exited with status 2."""
     pools = PoolPeer(), PoolPeer()
     old_door, new_door = (("127.0.0.1", _free_port()) for _ in range(2))
     with program(tmp_path, _address_text(pools[0]), NOWHERE, control=_address_text(old_door)) as (old, port):
@@ -23,7 +23,7 @@
         assert _becomes_ready(old_door)
         balancer = Balancer(
             ("127.0.0.1", port)
-        )  # accepted by the old one, since the new one does not listen yet
+        )  # accepted by the old process, since the new one does not listen yet
         with program(
             tmp_path,
             _address_text(pools[1]),
@@ -45,10 +45,10 @@
                 pass
             assert call(old_door, "GET", "/-/ready").status == 503
             pools[0].notice("finished", uid, "fine", b"done")
-            assert balancer.answer()[1].body == b"done"  # the old one answers its open request
+            assert balancer.answer()[1].body == b"done"  # the old process answers its open request
             assert balancer.ended()
             assert old.wait(WAIT_S) == 0
-            for number in range(2, 5):  # and the new one serves the same address
+            for number in range(2, 5):  # the new process serves the same address
                 late = Balancer(("127.0.0.1", port))
                 late.send(number)
                 pools[1].run(b"new")
@@ -69,7 +69,7 @@
 
 
 def _becomes_ready(address: tuple[str, int]) -> bool:
-    """Whether the server becomes ready in time, which it is a moment after the pool has seen `bind`."""
+    """Whether the server becomes ready in time; this happens shortly after the pool has received `bind`."""
     end = time.monotonic() + WAIT_S
     while time.monotonic() < end:
         with contextlib.suppress(ConnectionError):
@@ -79,9 +79,9 @@
 
 
 def test_result_committed_by_the_old_version_is_replayed_by_the_new_one(tmp_path: Path) -> None:
-    """The result is replayed, another body with its key fails, and so does a run whose process was killed.
+    """A committed result is replayed without a second run.
 
-    All without a second run.
+    Another body under its key fails, and so does a retry of a run whose process was killed.
     """
     keyed: dict[str, Any] = {"path": "/svc/write", "HTTP_REQ_TOKEN": TOKEN}
     other: dict[str, Any] = {"path": "/svc/write", "HTTP_REQ_TOKEN": TOKEN[::-1]}
@@ -106,7 +106,7 @@
             assert after.answer()[1].body == b"done"
             after.send(5, body=b"another body", **keyed)
             assert after.answer()[1].status == 500
-            after.send(6, **other)  # its outcome is unknown for good
+            after.send(6, **other)  # its outcome stays unknown
             assert after.answer()[1].status == 500
             after.send(7)
             assert pools[1].next("spawn")["uid"] == f"{7:016x}"  # the only run
--- a/tests/administration_helpers.py
+++ b/tests/administration_helpers.py
@@ -26,13 +26,13 @@
 @contextlib.contextmanager
 def administration_server(
     can_serve: bool = True,
-    most: int = MAX_CONNECTIONS,
-    call_wait_s: float = REQUEST_TIMEOUT_S,
+    max_connections: int = MAX_CONNECTIONS,
+    request_timeout_s: float = REQUEST_TIMEOUT_S,
 ) -> Iterator[tuple[AdministrationServer, Readiness, RequestCounters]]:
     """A running server, the readiness that it shows and changes, and the counters that it shows."""
     readiness, counters = Readiness(lambda: can_serve), RequestCounters(("read", "write"))
     server = AdministrationServer(
-        ("127.0.0.1", 0), Endpoints(readiness, counters), readiness, most, call_wait_s
+        ("127.0.0.1", 0), Endpoints(readiness, counters), readiness, max_connections, request_timeout_s
     )
     server.start()
     try:
