--- a/cairnvane/load_balancing/__init__.py
+++ b/cairnvane/load_balancing/__init__.py
@@ -1,11 +1,11 @@
-"""Clusters and endpoints, and where a call goes. No I/O, no clock, no random source of its own.
+"""Load balancing: clusters, endpoints, and the choice of an endpoint for a call.
 
-`locality_weights` says how much of a cluster's traffic each priority and locality gets, `weighted_choice`
-draws an endpoint by weight and calls in flight, `maglev` by a hash. `circuit_breakers` bounds calls and
-retries, `outlier_detection` ejects failing endpoints and has joining ones start slowly, `endpoints` keeps the
-life cycle of each, `cluster` is the description. The rules are those that Envoy's documentation publishes;
-`tests/load_balancing` quotes their tables. Not wired to the server yet: `docs/ROADMAP.md` says what is still
-to come.
+The package does no I/O, reads no clock, and has no random source of its own. `locality_weights` computes
+the traffic share of each priority and locality, `weighted_choice` draws an endpoint by weight and calls in
+flight, `maglev` chooses one by a hash. `circuit_breakers` limits calls and retries, `outlier_detection`
+ejects failing endpoints and implements slow start, `endpoints` tracks the life cycle of each endpoint, and
+`cluster` holds the descriptions. The rules follow Envoy's documentation, whose tables `tests/load_balancing`
+quotes. The server does not use this package yet; `docs/ROADMAP.md` lists the open work.
 """
 
 from .circuit_breakers import CircuitBreakers, RetryBudget
--- a/cairnvane/load_balancing/circuit_breakers.py
+++ b/cairnvane/load_balancing/circuit_breakers.py
@@ -6,7 +6,7 @@
 
 from ..contract.events import Outcome
 
-# Envoy's defaults, for what a description leaves out.
+# Envoy's defaults for values that a description omits.
 MAX_CONNECTIONS = 1_024
 MAX_PENDING_REQUESTS = 1_024
 MAX_REQUESTS = 1_024
@@ -20,7 +20,7 @@
     """Allows retries in proportion to the requests in flight."""
 
     percent: float = BUDGET_PERCENT
-    min_retries: int = MIN_RETRIES  # allowed however few requests are in flight
+    min_retries: int = MIN_RETRIES  # allowed regardless of the number of requests in flight
 
     def allows(self, in_flight: int, retrying: int) -> bool:
         """Whether one more retry may be sent while `retrying` are in flight."""
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CircuitBreakers:
-    """The thresholds; 0 lets nothing through."""
+    """The thresholds; 0 rejects everything."""
 
     connections: int = MAX_CONNECTIONS
     pending: int = MAX_PENDING_REQUESTS
@@ -48,9 +48,9 @@
         return retrying < self.retries
 
     def call_allowance(self, load_signal: float | None) -> float:
-        """How many calls one client may have in flight here.
+        """The number of calls that one client may have in flight.
 
-        The lower of the server's load signal and the breaker: each is a bound that its side has a reason for.
+        This is the lower of the server's load signal and the breaker's limit; each side sets its own bound.
         """
         max_requests = float(self.requests)
         return max_requests if load_signal is None else min(load_signal, max_requests)
@@ -59,11 +59,11 @@
 _NEVER_EXECUTED = (Outcome.REJECTED, Outcome.UNREACHED, Outcome.NEVER_STARTED)
 
 
-def may_retry_elsewhere(outcome: Outcome, keyed: bool) -> bool:
-    """Whether a call that ended so may be sent to another endpoint.
+def may_retry_elsewhere(outcome: Outcome, has_effect: bool) -> bool:
+    """Whether a call with this outcome may be retried at another endpoint.
 
-    `keyed`: it has an effect, so only if it provably never executed at the first one.
+    A call that `has_effect` may be retried only if it provably never executed at the first endpoint.
     """
     if outcome in _NEVER_EXECUTED:
         return True
-    return not keyed and outcome is not Outcome.OK
+    return not has_effect and outcome is not Outcome.OK
--- a/cairnvane/load_balancing/cluster.py
+++ b/cairnvane/load_balancing/cluster.py
@@ -1,4 +1,4 @@
-"""Clusters and endpoints as a description has them, independent of any protocol."""
+"""Descriptions of clusters and their endpoints, independent of any protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from .circuit_breakers import CircuitBreakers
 from .endpoints import Address, EndpointDescription
-from .locality_weights import OVERPROVISIONING, PANIC_THRESHOLD
+from .locality_weights import OVERPROVISIONING_PERCENT, PANIC_THRESHOLD_PERCENT
 
 MILLION = 1_000_000
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Locality:
-    """The endpoints of one locality; without weight, it gets nothing where localities share by weight."""
+    """The endpoints of one locality; with weight 0 it gets no traffic if localities share by weight."""
 
     name: str
     priority: int
@@ -35,7 +35,7 @@
 
 
 class DropRate(NamedTuple):
-    """How many calls a category of overload drops."""
+    """The rate at which an overload category drops calls."""
 
     category: str
     per_million: int
@@ -47,11 +47,11 @@
 
     name: str
     localities: tuple[Locality, ...] = ()
-    overprovisioning: int = OVERPROVISIONING  # percent
+    overprovisioning: int = OVERPROVISIONING_PERCENT  # percent
     drops: tuple[DropRate, ...] = ()
 
     def priority_count(self) -> int:
-        """How many priorities there are."""
+        """The number of priorities."""
         return 1 + max((locality.priority for locality in self.localities), default=-1)
 
 
@@ -60,9 +60,9 @@
     """A cluster, without its endpoints unless they are inline."""
 
     name: str
-    service_name: str  # under which its endpoints are requested
+    service_name: str  # the name under which its endpoints are requested
     policy: LoadBalancingPolicy = LoadBalancingPolicy.ROUND_ROBIN
     circuit_breakers: CircuitBreakers = field(default_factory=CircuitBreakers)
-    panic_threshold: float = PANIC_THRESHOLD  # percent of healthy endpoints
+    panic_threshold: float = PANIC_THRESHOLD_PERCENT  # percent of healthy endpoints
     slow_start_us: int = 0
     inline_assignment: Assignment | None = None
--- a/cairnvane/load_balancing/endpoints.py
+++ b/cairnvane/load_balancing/endpoints.py
@@ -1,8 +1,8 @@
-"""The life cycle of an endpoint: joining, active, draining, removed while calls to it go on, back again.
+"""The life cycle of endpoints: joining, active, draining, leaving with calls in flight, and joining again.
 
-No I/O, no clock; times are microseconds. A description says which endpoints a cluster has; this decides which
-of them get calls, and keeps an endpoint until its last call has ended. An address stands for one endpoint
-within a cluster; a description that names it twice is rejected where it is read.
+This module does no I/O and reads no clock; times are microseconds. A description lists the endpoints of a
+cluster. This module decides which of them get calls, and keeps an endpoint until its last call has ended. An
+address identifies one endpoint within a cluster; the parser rejects a description that lists it twice.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EndpointHealth(Enum):
-    """What a description says of an endpoint."""
+    """The health of an endpoint according to its description."""
 
     HEALTHY = "healthy"  # or unknown, which counts as healthy
     DEGRADED = "degraded"
@@ -27,17 +27,17 @@
 
 
 class Stage(Enum):
-    """Where an endpoint is in its life cycle."""
+    """A stage in the life cycle of an endpoint."""
 
     JOINING = "joining"  # gets a growing share of calls
     ACTIVE = "active"
-    DRAINING = "draining"  # described, and gets no new calls
-    LEAVING = "leaving"  # no longer described; calls to it go on
+    DRAINING = "draining"  # still described, but gets no new calls
+    LEAVING = "leaving"  # no longer described, but calls are still in flight
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDescription:
-    """An endpoint, as a description has it."""
+    """The description of an endpoint."""
 
     weight: int = 1
     health: EndpointHealth = EndpointHealth.HEALTHY
@@ -50,8 +50,8 @@
     description: EndpointDescription
     joined_at: int
     stage: Stage
-    calls: int = 0  # in flight, of all generations under this address
-    generation: int = 0  # the result of a call to an earlier one says nothing of this one
+    calls: int = 0  # in flight, for all generations of this address
+    generation: int = 0  # results of calls to earlier generations do not count
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,22 +67,22 @@
 
     def __init__(self, *, slow_start_us: int = 0, outliers: OutlierDetector[Address] | None = None) -> None:
         self.endpoints: dict[Address, Endpoint] = {}
-        self._choice: Weighted[Address] = Weighted()  # those that take calls
+        self._choice: Weighted[Address] = Weighted()  # endpoints that take calls
         self._all: Weighted[Address] = Weighted()  # also unhealthy and ejected ones, for panic mode
         self._slow_start_us = slow_start_us
         self._outliers = outliers
         self._last_generation = 0
         self._joining: dict[Address, None] = {}  # an ordered set
 
-    def update(self, now: int, found: Mapping[Address, EndpointDescription], first: bool = False) -> None:
+    def update(self, now: int, described: Mapping[Address, EndpointDescription], first: bool = False) -> None:
         """Apply a changed description.
 
-        `first`: nothing was known before, so that no endpoint joins a cluster that takes calls already.
+        `first`: there was no description before, so endpoints become active without slow start.
         """
-        removed = [address for address in self.endpoints if address not in found]
+        removed = [address for address in self.endpoints if address not in described]
         for address in removed:
             self._remove(address)
-        for address, description in found.items():
+        for address, description in described.items():
             endpoint = self.endpoints.get(address)
             if endpoint is None or endpoint.stage is Stage.LEAVING:
                 self._add(address, description, now, first)
@@ -90,7 +90,7 @@
                 self._change(address, endpoint, description, now)
 
     def _add(self, address: Address, description: EndpointDescription, now: int, first: bool) -> None:
-        """Add an endpoint; calls of an earlier one under its address may still be in flight."""
+        """Add an endpoint; calls to an earlier endpoint at its address may still be in flight."""
         calls = self.endpoints[address].calls if address in self.endpoints else 0
         self._last_generation += 1
         stage = Stage.ACTIVE if first or not self._slow_start_us else Stage.JOINING
@@ -107,9 +107,11 @@
         description: EndpointDescription,
         now: int,
     ) -> None:
-        before = endpoint.description
+        previous = endpoint.description
         endpoint.description = description
-        recovered = before.health is EndpointHealth.UNHEALTHY and description.health is EndpointHealth.HEALTHY
+        recovered = (
+            previous.health is EndpointHealth.UNHEALTHY and description.health is EndpointHealth.HEALTHY
+        )
         if description.health is EndpointHealth.DRAINING:
             endpoint.stage = Stage.DRAINING
             self._joining.pop(address, None)
@@ -121,7 +123,7 @@
         self._update_weights(address, endpoint, now)
 
     def _start_slowly(self, address: Address, endpoint: Endpoint, now: int) -> None:
-        """Treat an endpoint that is back in service like one that joins."""
+        """Apply slow start to an endpoint that returns to service."""
         endpoint.stage = Stage.JOINING
         endpoint.joined_at = now
         self._joining[address] = None
@@ -138,7 +140,7 @@
             del self.endpoints[address]
 
     def _update_weights(self, address: Address, endpoint: Endpoint, now: int) -> None:
-        """Set an endpoint's weight for normal and for panic mode, by all that is known of it."""
+        """Set an endpoint's weights for normal and panic mode, by its stage, health and ejection."""
         weight = self._weight(endpoint, now)
         ejected = self._outliers is not None and self._outliers.is_ejected(address)
         takes_calls = endpoint.description.health is EndpointHealth.HEALTHY and not ejected
@@ -146,7 +148,7 @@
         self._set_weight(self._choice, address, endpoint, weight if takes_calls else None)
 
     def _weight(self, endpoint: Endpoint, now: int) -> int | None:
-        """The weight by life cycle alone; None: no new calls."""
+        """The weight according to the life cycle alone; None: no new calls."""
         if endpoint.stage is Stage.JOINING:
             return slow_start(endpoint.description.weight, now - endpoint.joined_at, self._slow_start_us)
         return endpoint.description.weight if endpoint.stage is Stage.ACTIVE else None
@@ -169,7 +171,7 @@
             choice.put(address, weight)
 
     def refresh(self, now: int) -> None:
-        """Time has passed: joining endpoints get a larger share, ejected ones may be readmitted."""
+        """Update for the current time: raise the weights of joining endpoints, readmit ejected ones."""
         for address in list(self._joining):
             endpoint = self.endpoints[address]
             if now - endpoint.joined_at >= self._slow_start_us:
@@ -182,15 +184,15 @@
                 self._update_weights(address, self.endpoints[address], now)
 
     def choose(self, below: Callable[[int], int], panic: bool = False) -> Address | None:
-        """Where the next call goes; None if no endpoint takes any.
+        """Choose the endpoint for the next call; None if no endpoint takes calls.
 
-        In panic mode all described endpoints may get it but draining ones: those were told to take no new
-        calls. `below(n)` gives a random whole number from 0 to under n.
+        Panic mode includes unhealthy and ejected endpoints, but no draining ones, since these must not get
+        new calls. `below(n)` returns a random integer from 0 to n - 1.
         """
         return (self._all if panic else self._choice).choose(below)
 
     def call_started(self, address: Address) -> CallHandle:
-        """Count a call that goes out; `KeyError` if the address is not known."""
+        """Count a started call; raises `KeyError` if the address is unknown."""
         endpoint = self.endpoints[address]
         endpoint.calls += 1
         for choice in (self._choice, self._all):
@@ -198,11 +200,11 @@
                 choice.begin(address)
         return CallHandle(address, endpoint.generation)
 
-    def call_ended(self, call: CallHandle, good: bool, now: int) -> None:
-        """Count the end of a call, and its result for outlier detection.
+    def call_ended(self, call: CallHandle, is_success: bool, now: int) -> None:
+        """Count the end of a call, and record its result for outlier detection.
 
-        A removed endpoint is forgotten with its last call; the result of a call to an earlier generation is
-        not held against the present one.
+        A leaving endpoint is deleted with its last call. The result of a call to an earlier generation is not
+        recorded for the current one.
         """
         endpoint = self.endpoints.get(call.address)
         if endpoint is None or not endpoint.calls:
@@ -216,5 +218,5 @@
             return
         if self._outliers is None or call.generation != endpoint.generation:
             return
-        if self._outliers.record_result(call.address, good, len(self.endpoints), now):
+        if self._outliers.record_result(call.address, is_success, len(self.endpoints), now):
             self._update_weights(call.address, endpoint, now)
--- a/cairnvane/load_balancing/locality_weights.py
+++ b/cairnvane/load_balancing/locality_weights.py
@@ -1,4 +1,4 @@
-"""How much of a cluster's traffic each priority and each locality gets.
+"""Computes the traffic share of each priority and each locality of a cluster.
 
 The rules are Envoy's ('Priority levels', 'Panic threshold', 'Locality weighted load balancing').
 """
@@ -8,11 +8,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-# A priority may take so much more than its healthy share before traffic spills over, in percent.
-OVERPROVISIONING = 140
-# Below this share of healthy endpoints, in percent, the health of a priority is not believed.
-PANIC_THRESHOLD = 50.0
-FULL = 100
+# The overprovisioning factor in percent: a priority below full health takes this multiple of its healthy
+# share before traffic spills over to the next one.
+OVERPROVISIONING_PERCENT = 140
+# If a smaller share of a priority's endpoints is healthy, its health information is disregarded (panic mode).
+PANIC_THRESHOLD_PERCENT = 50.0
+FULL_PERCENT = 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +22,7 @@
 
     healthy: int
     total: int
-    weight: int = 1  # of a locality; priorities have none
+    weight: int = 1  # for localities only
 
     def __post_init__(self) -> None:
         if not 0 <= self.healthy <= self.total:
@@ -30,87 +31,89 @@
             raise ValueError(f"weight: {self.weight} is below 0")
 
     def percent(self, overprovisioning: int) -> int:
-        """Its health with overprovisioning, in whole percents as published, at most 100."""
+        """The health with overprovisioning, in whole percents as in Envoy's tables, at most 100."""
         if not self.total:
             return 0
-        return min(FULL, overprovisioning * self.healthy // self.total)
+        return min(FULL_PERCENT, overprovisioning * self.healthy // self.total)
 
 
 @dataclass(frozen=True, slots=True)
 class PriorityLoad:
-    """What one priority gets."""
+    """The traffic share and the panic mode of one priority."""
 
     load: int  # percent of the traffic
-    panic: bool  # its traffic goes to all of its endpoints, healthy or not
+    panic: bool  # traffic goes to all its endpoints, healthy or not
 
 
 def priority_loads(
     levels: Sequence[HealthCount],
     *,
-    overprovisioning: int = OVERPROVISIONING,
-    panic: float = PANIC_THRESHOLD,
+    overprovisioning: int = OVERPROVISIONING_PERCENT,
+    panic: float = PANIC_THRESHOLD_PERCENT,
 ) -> list[PriorityLoad]:
-    """The load of each priority, the most wanted first; all loads are 0 if there is no endpoint at all.
+    """The load of each priority, the highest priority first; all loads are 0 if there are no endpoints.
 
-    Panic mode is considered only where all priorities together lack health for all traffic: else the healthy
-    endpoints of a lower priority are better than the unhealthy ones of a higher.
+    Panic mode applies only if all priorities together are not healthy enough for all traffic. Otherwise the
+    healthy endpoints of a lower priority are preferred to the unhealthy ones of a higher priority.
     """
     health = [level.percent(overprovisioning) for level in levels]
     if sum(health) == 0:
         return _loads_by_size(levels, panic)
-    lack_health = sum(health) < FULL
+    lack_health = sum(health) < FULL_PERCENT
     panics = [lack_health and _below_threshold(level, panic) for level in levels]
     loads = _loads_by_health(health)
     return [PriorityLoad(load, panicked) for load, panicked in zip(loads, panics, strict=True)]
 
 
 def _below_threshold(level: HealthCount, panic: float) -> bool:
-    return level.total > 0 and FULL * level.healthy < panic * level.total
+    return level.total > 0 and FULL_PERCENT * level.healthy < panic * level.total
 
 
 def _loads_by_size(levels: Sequence[HealthCount], panic: float) -> list[PriorityLoad]:
-    """No endpoint is healthy: share by size, since all are as good."""
+    """Share the load by size, if no endpoint is healthy."""
     sizes = [level.total for level in levels]
     loads = _proportional_percents(sizes)
     return [PriorityLoad(load, size > 0 and panic > 0) for load, size in zip(loads, sizes, strict=True)]
 
 
 def _loads_by_health(health: Sequence[int]) -> list[int]:
-    """Percents of the traffic, the first priorities taking all that they can."""
+    """Percents of the traffic; earlier priorities take as much as their health allows."""
     loads = []
-    unassigned = FULL
-    total_health = min(FULL, sum(health))
+    unassigned = FULL_PERCENT
+    total_health = min(FULL_PERCENT, sum(health))
     for percent in health:
-        load = min(unassigned, percent * FULL // total_health)
+        load = min(unassigned, percent * FULL_PERCENT // total_health)
         loads.append(load)
         unassigned -= load
-    if unassigned:  # the rest from rounding goes to the first priority with any health
+    if unassigned:  # the rounding remainder goes to the first priority with healthy endpoints
         first = next(index for index, percent in enumerate(health) if percent)
         loads[first] += unassigned
     return loads
 
 
 def _proportional_percents(sizes: Sequence[int]) -> list[int]:
-    """Percents in proportion, which add up to 100; the rest from rounding goes to the first."""
+    """Proportional percents that add up to 100; the rounding remainder goes to the first nonzero size."""
     total = sum(sizes)
     if not total:
         return [0] * len(sizes)
-    percents = [FULL * size // total for size in sizes]
+    percents = [FULL_PERCENT * size // total for size in sizes]
     first = next(index for index, size in enumerate(sizes) if size)
-    percents[first] += FULL - sum(percents)
+    percents[first] += FULL_PERCENT - sum(percents)
     return percents
 
 
 def locality_shares(
     localities: Sequence[HealthCount],
     *,
-    overprovisioning: int = OVERPROVISIONING,
+    overprovisioning: int = OVERPROVISIONING_PERCENT,
 ) -> list[float]:
-    """The share of each locality within its priority, from 0 to 1; all 0 if none can take any.
+    """The share of each locality within its priority, from 0 to 1; all 0 if no locality can take traffic.
 
-    A locality keeps its weight until too little of it is healthy even with overprovisioning, and loses in
-    proportion from there.
+    A locality keeps its full weight until its health with overprovisioning falls below 100 percent. Below
+    that, its weight decreases in proportion.
     """
-    effective = [locality.weight * locality.percent(overprovisioning) / FULL for locality in localities]
+    effective = [
+        locality.weight * locality.percent(overprovisioning) / FULL_PERCENT for locality in localities
+    ]
     total = sum(effective)
     return [weight / total if total else 0.0 for weight in effective]
--- a/cairnvane/load_balancing/outlier_detection.py
+++ b/cairnvane/load_balancing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail for a while, and raises the share of joining ones slowly.
+"""Ejects failing endpoints temporarily (outlier detection), and ramps up joining ones (slow start).
 
 The rules are Envoy's ('Outlier detection', 'Slow start mode'). Times are microseconds.
 """
@@ -14,21 +14,21 @@
 BASE_EJECTION_US = 30_000_000
 MAX_EJECTION_US = 300_000_000
 MAX_EJECTED_PERCENT = 10
-# The share of its weight that a joining endpoint gets at once.
+# The share of its weight that a joining endpoint starts with.
 MIN_SLOW_START_SHARE = 0.1
 
 
 @dataclass(slots=True)
 class _Record:
-    """What is known of one endpoint."""
+    """The failure and ejection state of one endpoint."""
 
     consecutive_failures: int = 0
-    ejections: int = 0  # multiplies the ejection time; falls while the endpoint behaves
+    ejections: int = 0  # multiplies the ejection time; decreases while calls succeed
     ejected_until: int = 0
 
 
 class OutlierDetector(Generic[Key]):
-    """Decides which endpoints are ejected: at most a share of them at any time, but one may always be."""
+    """Decides which endpoints are ejected: at most a given share at any time, though one may always be."""
 
     def __init__(
         self,
@@ -46,13 +46,13 @@
         self._ejected: dict[Key, None] = {}  # an ordered set
 
     def is_ejected(self, key: Key) -> bool:
-        """Whether an endpoint gets no calls."""
+        """Whether an endpoint is ejected and gets no calls."""
         return key in self._ejected
 
-    def record_result(self, key: Key, good: bool, endpoint_count: int, now: int) -> bool:
-        """Record how a call ended, in a set of so many endpoints; True if that ejects the endpoint."""
+    def record_result(self, key: Key, is_success: bool, endpoint_count: int, now: int) -> bool:
+        """Record the result of a call; returns whether it ejects the endpoint."""
         record = self._records.setdefault(key, _Record())
-        if good:
+        if is_success:
             record.consecutive_failures = 0
             return False
         record.consecutive_failures += 1
@@ -71,14 +71,14 @@
     def _eject(self, key: Key, record: _Record, now: int) -> None:
         record.consecutive_failures = 0
         record.ejections += 1
-        longest = max(self._base_ejection_us, self._max_ejection_us)
-        record.ejected_until = now + min(self._base_ejection_us * record.ejections, longest)
+        longest_us = max(self._base_ejection_us, self._max_ejection_us)
+        record.ejected_until = now + min(self._base_ejection_us * record.ejections, longest_us)
         self._ejected[key] = None
 
     def readmit_due(self, now: int) -> list[Key]:
-        """Readmit endpoints whose time is over, and return them.
+        """Readmit and return the endpoints whose ejection time is over.
 
-        To be called once an interval: an endpoint that behaved through it is trusted a little more.
+        Call this once per interval: it shortens the next ejection of endpoints without current failures.
         """
         readmitted = [key for key in self._ejected if self._records[key].ejected_until <= now]
         for key in readmitted:
@@ -90,25 +90,25 @@
         return readmitted
 
     def forget(self, key: Key) -> None:
-        """An endpoint was removed; back under the same address, it starts anew."""
+        """Drop the state of a removed endpoint; it starts with a clean record if it returns."""
         self._records.pop(key, None)
         self._ejected.pop(key, None)
 
 
 def slow_start(
     weight: int,
-    joined_for: int,
+    elapsed: int,
     window: int,
     aggression: float = 1.0,
     min_share: float = MIN_SLOW_START_SHARE,
 ) -> int:
-    """The weight of an endpoint that joined so long ago; never below 1, unless it has none.
+    """The weight of an endpoint during slow start, `elapsed` after it joined; at least 1, or 0 for weight 0.
 
-    A higher aggression raises it faster at first; `ValueError` if that is not above 0.
+    A higher aggression raises the weight faster at first. Raises `ValueError` if it is not above 0.
     """
     if aggression <= 0:
         raise ValueError(f"aggression: {aggression} is not above 0")
-    if weight == 0 or window <= 0 or joined_for >= window:
+    if weight == 0 or window <= 0 or elapsed >= window:
         return weight
-    share = (max(0, joined_for) / window) ** (1 / aggression)
+    share = (max(0, elapsed) / window) ** (1 / aggression)
     return max(1, int(weight * max(min_share, share)))
--- a/cairnvane/load_balancing/weighted_choice.py
+++ b/cairnvane/load_balancing/weighted_choice.py
@@ -1,8 +1,7 @@
-"""Draws an endpoint by weight, and of two draws the one with fewer calls for its weight.
+"""Weighted random choice of an endpoint, with the least loaded of two draws (weighted least request).
 
-Weights are kept in a tree of sums (Fenwick, 1994): to change one, to add or remove one and to draw one each
-take a number of steps that is logarithmic in the number of endpoints. `benchmarks/fleet_choice.py` compares
-it with a plain list.
+Weights are kept in a Fenwick tree (Fenwick, 1994): changing, adding, removing and drawing an endpoint each
+take logarithmic time in the number of endpoints. `benchmarks/fleet_choice.py` compares it with a plain list.
 """
 
 from __future__ import annotations
@@ -11,14 +10,14 @@
 from typing import Generic, TypeVar
 
 Key = TypeVar("Key")
-# Of so many draws the least busy is taken; Envoy's `choice_count`.
+# The number of draws from which the least loaded endpoint is chosen; Envoy's `choice_count`.
 CHOICES = 2
-# The largest weight that the protocol has; sums may go past it, since they are Python's own integers.
+# The largest weight in the protocol (32 bits); sums may exceed it, since Python integers are unbounded.
 MAX_WEIGHT = (1 << 32) - 1
 
 
 class Weighted(Generic[Key]):
-    """Endpoints with weights and calls in flight, by any hashable key."""
+    """Endpoints with weights and calls in flight; an endpoint is identified by any hashable key."""
 
     def __init__(self) -> None:
         self._slots: dict[Key, int] = {}
@@ -49,9 +48,9 @@
         return self._active[self._slots[key]]
 
     def put(self, key: Key, weight: int) -> None:
-        """Add an endpoint, or change its weight; one of weight 0 is kept and never drawn.
+        """Add an endpoint, or change its weight; an endpoint of weight 0 is kept but never drawn.
 
-        `ValueError` if the weight is out of range.
+        Raises `ValueError` if the weight is out of range.
         """
         if not 0 <= weight <= MAX_WEIGHT:
             raise ValueError(f"weight of {key!r}: {weight} is not between 0 and {MAX_WEIGHT}")
@@ -75,7 +74,7 @@
         return index - 1
 
     def _sum_below(self, index: int) -> int:
-        """What a new node has to hold: it sums up as many slots below it as its lowest set bit says."""
+        """The initial sum of a new tree node; its lowest set bit is the number of slots that it covers."""
         total = 0
         below = index - 1
         end = index - (index & -index)
@@ -104,7 +103,7 @@
             index += index & -index
 
     def _find(self, number: int) -> int:
-        """The slot in which this number falls, of all weights laid end to end."""
+        """The slot that contains this number in the cumulative sum of all weights."""
         slot_count = len(self._tree) - 1
         index = 0
         step = 1 << slot_count.bit_length() - 1 if slot_count else 0
@@ -117,22 +116,22 @@
         return index
 
     def draw(self, below: Callable[[int], int]) -> Key | None:
-        """A random endpoint, with a probability by weight; None if there is none to draw.
+        """Draw a random endpoint with a probability proportional to its weight; None if all weights are 0.
 
-        `below(n)` gives a random whole number from 0 to under n.
+        `below(n)` returns a random integer from 0 to n - 1.
         """
         if not self._total:
             return None
         return self._keys[self._find(below(self._total))]
 
     def choose(self, below: Callable[[int], int], choices: int = CHOICES) -> Key | None:
-        """Of a few draws, the endpoint with the fewest calls for its weight; None if there is none."""
+        """Of `choices` draws, the endpoint with the lowest load per weight; None if all weights are 0."""
         if not self._total:
             return None
         best = self._find(below(self._total))
         for _ in range(choices - 1):
             other = self._find(below(self._total))
-            # Compares calls over weight, without division.
+            # Compares (calls + 1) / weight without division.
             best_load = (self._active[best] + 1) * self._weights[other]
             other_load = (self._active[other] + 1) * self._weights[best]
             if other_load < best_load:
@@ -140,11 +139,11 @@
         return self._keys[best]
 
     def begin(self, key: Key, calls: int = 1) -> None:
-        """Count calls that are sent to an endpoint."""
+        """Count calls sent to an endpoint."""
         self._active[self._slots[key]] += calls
 
     def end(self, key: Key) -> None:
-        """Count the end of a call; nothing happens if the endpoint was removed meanwhile."""
+        """Count the end of a call; ignored if the endpoint was removed meanwhile."""
         slot = self._slots.get(key)
         if slot is not None and self._active[slot] > 0:
             self._active[slot] -= 1
--- a/cairnvane/xds/__init__.py
+++ b/cairnvane/xds/__init__.py
@@ -1,10 +1,10 @@
-"""An xDS v3 client: the protocol's state machine, in its two forms.
+"""An xDS v3 client with both protocol variants, state of the world and incremental (delta).
 
-`resource_table` keeps the state of each resource, whichever form brought it. `protocol` is the
-conversation: state of the world or incremental, versions, nonces, ACK and NACK. `session` joins clusters
-and endpoints on stream, `cluster_view` decides which clusters are active, `resources` reads Envoy's
-messages. None of these does I/O or reads a clock; `grpc_stream` drives a session over gRPC. Terms and rules
-are those of Envoy's 'xDS REST and gRPC protocol'.
+`resource_table` holds the state of each resource, independent of the variant. `protocol` implements the two
+variants with versions, nonces, ACK and NACK. `session` combines clusters and endpoints on one stream,
+`cluster_view` decides which clusters are active, and `resources` parses Envoy's messages. None of these does
+I/O or reads a clock; `grpc_stream` runs a session over gRPC. Terms and rules follow Envoy's 'xDS REST and
+gRPC protocol'.
 """
 
 from .protocol import (
--- a/cairnvane/xds/cluster_view.py
+++ b/cairnvane/xds/cluster_view.py
@@ -1,8 +1,8 @@
-"""Clusters together with their endpoints: make before break. No I/O.
+"""Clusters combined with their endpoints, by the rule 'make before break'. No I/O.
 
-A cluster becomes active once its endpoints are there. While a changed one still waits for its endpoints, the
-one before stays active; so it does if the endpoints' resource goes missing later, since no answer is no
-statement about them. An assignment without endpoints is a statement, and counts.
+A cluster becomes active once its endpoints are known. While a changed cluster waits for its endpoints, its
+previous version stays active. It also stays active if the resource of its endpoints goes missing later, since
+a missing resource says nothing about the endpoints. An assignment without endpoints, however, is applied.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterChange:
-    """What has become of a cluster; `ready` None: it was removed."""
+    """A change of a cluster; `ready` is None if it was removed."""
 
     name: str
     ready: ReadyCluster | None
 
 
 class ClusterView:
-    """The active clusters, and those that wait for their endpoints."""
+    """The active clusters, and the clusters that wait for their endpoints."""
 
     def __init__(self) -> None:
         self.ready: dict[str, ReadyCluster] = {}
-        self._clusters: dict[str, Cluster] = {}  # the newest of each, active or not
+        self._clusters: dict[str, Cluster] = {}  # the newest version of each, active or not
         self._assignments: dict[str, Assignment] = {}
 
     def needed_services(self) -> set[str]:
-        """The names under which endpoints are needed, for active clusters and those that wait."""
+        """The service names whose endpoints are needed, for active and for waiting clusters."""
         active = [ready.cluster for ready in self.ready.values()]
         clusters = [*self._clusters.values(), *active]
         return {cluster.service_name for cluster in clusters if cluster.inline_assignment is None}
@@ -51,36 +51,36 @@
         }
 
     def update_cluster(self, cluster: Cluster) -> list[ClusterChange]:
-        """A cluster is new, or has changed."""
+        """Apply a new or changed cluster."""
         self._clusters[cluster.name] = cluster
         return self._activate(cluster.name)
 
     def remove_cluster(self, name: str) -> list[ClusterChange]:
-        """A cluster was removed, and its endpoints with it; calls in flight are not affected here."""
+        """Remove a cluster and its endpoints; calls in flight are not affected."""
         self._clusters.pop(name, None)
         removed = self.ready.pop(name, None)
         self._drop_unneeded_assignments()
         return [ClusterChange(name, None)] if removed is not None else []
 
     def update_assignment(self, assignment: Assignment) -> list[ClusterChange]:
-        """Endpoints are new, or have changed; those that are not needed are ignored."""
+        """Apply new or changed endpoints; those that are not needed are ignored."""
         if assignment.name not in self.needed_services():
             return []
         self._assignments[assignment.name] = assignment
         return [change for name in sorted(self._clusters) for change in self._activate(name)]
 
     def _activate(self, name: str) -> list[ClusterChange]:
-        """Make the newest version active that has its endpoints."""
-        before = self.ready.get(name)
-        after = self._newest_ready(name)
-        if after is None or after == before:
+        """Activate the newest version whose endpoints are known."""
+        previous = self.ready.get(name)
+        current = self._newest_ready(name)
+        if current is None or current == previous:
             return []
-        self.ready[name] = after
+        self.ready[name] = current
         self._drop_unneeded_assignments()
-        return [ClusterChange(name, after)]
+        return [ClusterChange(name, current)]
 
     def _newest_ready(self, name: str) -> ReadyCluster | None:
-        """The newest version with its endpoints; else the active one with its newest endpoints."""
+        """The newest version if its endpoints are known; else the active one with its newest endpoints."""
         cluster = self._clusters[name]
         assignment = cluster.inline_assignment or self._assignments.get(cluster.service_name)
         if assignment is not None:
--- a/cairnvane/xds/grpc_stream.py
+++ b/cairnvane/xds/grpc_stream.py
@@ -1,6 +1,6 @@
-"""The aggregated stream over gRPC, on grpcio and the published message classes (the extra `xds`).
+"""The aggregated discovery stream over gRPC; requires grpcio and xds-protos (the extra `xds`).
 
-A thread keeps a stream open and starts a new one when it ends; the session decides what is sent on it.
+A thread keeps a stream open and reopens it when it ends; the session decides what is sent on it.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
 logger = logging.getLogger(__name__)
 
-# Exponential backoff between streams; it starts over once something came on a stream.
+# Exponential backoff between streams; it is reset once a message was received on a stream.
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 INVALID_ARGUMENT = 3  # google.rpc.Code, in a NACK
-MAX_MESSAGE_BYTES = 64 << 20  # 100,000 endpoints in one message are about 5 MB
+MAX_MESSAGE_BYTES = 64 << 20  # 100,000 endpoints in one message take about 5 MB
 US_PER_SECOND = 1e6
 
 
-# Called in a thread of the stream's, after each message that changed something, and when something that was
-# requested is missing.
+# Called in one of the stream's threads, after each message that changed a cluster and when requested
+# endpoints are missing.
 StepListener = Callable[[Step[Any]], None]
 
 
@@ -48,7 +48,7 @@
 
 
 def _request_message(request: DiscoveryRequest | DeltaDiscoveryRequest, node: Any) -> Any:
-    """The protocol buffer of a request."""
+    """Convert a request to its protocol buffer."""
     error = status_pb2.Status(code=INVALID_ARGUMENT, message=request.error) if request.error else None
     if isinstance(request, DiscoveryRequest):
         return discovery_pb2.DiscoveryRequest(
@@ -71,14 +71,14 @@
 
 
 def _parse(type_url: str, resource: Any) -> NamedResource:
-    """Name and message of a resource; one of another type than its response's can't be read."""
+    """The name and message of a resource; `UNREADABLE` if its type differs from the response's."""
     if resource.type_url != type_url:
         return resources.UNREADABLE
     return resources.parse_resource(type_url, resource.value)
 
 
 def _response(message: Any) -> DiscoveryResponse | DeltaDiscoveryResponse:
-    """The response in a protocol buffer."""
+    """Convert a response from its protocol buffer."""
     type_url = message.type_url
     if isinstance(message, discovery_pb2.DiscoveryResponse):
         parsed = tuple(_parse(type_url, resource) for resource in message.resources)
@@ -101,8 +101,8 @@
         *,
         delta: bool = False,
     ) -> None:
-        make: Callable[..., Session[Any, Any]] = make_delta if delta else make_state_of_the_world
-        self.session = make(resources.parse_cluster, resources.parse_assignment)
+        make_session: Callable[..., Session[Any, Any]] = make_delta if delta else make_state_of_the_world
+        self.session = make_session(resources.parse_cluster, resources.parse_assignment)
         self._address = address
         self._delta = delta
         self._listener = listener
@@ -115,16 +115,16 @@
         self._thread = threading.Thread(target=self._run, name="xds", daemon=True)
 
     def start(self) -> None:
-        """Connect, and stay connected."""
+        """Start the thread that connects and reconnects."""
         self._thread.start()
 
-    def stop(self, wait_s: float = 2.0) -> None:
-        """End the stream and its thread; active clusters remain active."""
+    def stop(self, timeout_s: float = 2.0) -> None:
+        """Close the stream and stop its thread; active clusters remain active."""
         self._stopped.set()
         call = self._call
         if call is not None:
             call.cancel()
-        self._thread.join(wait_s)
+        self._thread.join(timeout_s)
 
     def _run(self) -> None:
         backoff_s = MIN_BACKOFF_S
@@ -139,13 +139,13 @@
             self._stopped.wait(backoff_s)
 
     def _run_stream(self, channel: Any) -> bool:
-        """Run one stream to its end; returns whether anything was received on it."""
+        """Run one stream until it ends; returns whether a message was received."""
         stub = ads_pb2_grpc.AggregatedDiscoveryServiceStub(channel)
         open_stream = stub.DeltaAggregatedResources if self._delta else stub.StreamAggregatedResources
         requests: SimpleQueue[Any] = SimpleQueue()
         received_any = False
         with self._lock:
-            self._perform(requests, self.session.opened(_now_us()))
+            self._execute(requests, self.session.opened(_now_us()))
         self._call = open_stream(iter(requests.get, None))
         try:
             for message in self._call:
@@ -153,7 +153,7 @@
                 response = _response(message)
                 with self._lock:
                     step = self.session.received(message.type_url, response, _now_us())
-                    self._perform(requests, step)
+                    self._execute(requests, step)
         finally:
             requests.put(None)  # ends the requests' iterator, and the thread that reads it
             with self._lock:
@@ -161,7 +161,7 @@
                 self._set_timer()
         return received_any
 
-    def _perform(self, requests: SimpleQueue[Any], step: Step[Any]) -> None:
+    def _execute(self, requests: SimpleQueue[Any], step: Step[Any]) -> None:
         for request in step.send:
             requests.put(_request_message(request, self._node))
         if step.changes:
@@ -169,7 +169,7 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Set the timer for the next resource that will be missing."""
+        """Set the timer for the next resource timeout."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -182,7 +182,7 @@
         self._timer.start()
 
     def _expire(self) -> None:
-        """Report missing resources; in the timer's thread."""
+        """Report missing resources; runs in the timer's thread."""
         with self._lock:
             step = self.session.expire(_now_us())
             if step.missing:
--- a/cairnvane/xds/protocol.py
+++ b/cairnvane/xds/protocol.py
@@ -1,8 +1,8 @@
-"""The two forms of the protocol, for one resource type on one stream. No I/O, no clock.
+"""The two variants of the xDS protocol, for one resource type on one stream. No I/O, no clock.
 
-Each method returns what is to be sent, if anything, and what has become of resources. A stream's nonces are
-void when it ends; what is held is not. Good resources of a response are taken even if others in it are bad,
-and the NACK names the bad ones.
+Each method returns the request to send, if any, and the changes of resources. Nonces become invalid when the
+stream ends; held resources stay valid. The valid resources of a response are accepted even if others are
+invalid, and the NACK names the invalid ones.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryRequest:
-    """A request of the state-of-the-world form; with a nonce it is an ACK, or with an error a NACK."""
+    """A request of the state-of-the-world variant; with a nonce an ACK, with an error too a NACK."""
 
     type_url: str
     version: str
@@ -25,7 +25,7 @@
 
 
 class NamedResource(NamedTuple):
-    """A resource in a response of the state-of-the-world form, which has one version for all."""
+    """A resource in a state-of-the-world response, whose version applies to all its resources."""
 
     name: str  # empty if it can't be read
     body: Any
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryResponse:
-    """A response of the state-of-the-world form: names and bodies."""
+    """A response of the state-of-the-world variant."""
 
     version: str
     nonce: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeltaDiscoveryRequest:
-    """A request of the incremental form; with a nonce it is an ACK, or with an error a NACK."""
+    """A request of the incremental variant; with a nonce an ACK, with an error too a NACK."""
 
     type_url: str
     subscribe: tuple[str, ...] = ()
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeltaDiscoveryResponse:
-    """A response of the incremental form: changed resources, and names of removed ones."""
+    """A response of the incremental variant: changed resources, and the names of removed ones."""
 
     nonce: str
     resources: tuple[ReceivedResource, ...] = ()
@@ -66,37 +66,37 @@
 
 
 class SubscriptionProtocol(Protocol[RequestT_co, ResponseT_contra]):
-    """What both forms have in common."""
+    """The interface of both variants."""
 
     resources: ResourceTable
 
     def opened(self, now: int) -> RequestT_co:
-        """A stream is up; returns its first request."""
+        """Handle a newly opened stream; returns its first request."""
 
     def closed(self) -> None:
-        """The stream has ended."""
+        """Handle the end of the stream."""
 
     def received(self, response: ResponseT_contra) -> tuple[RequestT_co | None, list[ResourceEvent]]:
-        """Take a response; returns its ACK or NACK, and what has become of resources."""
+        """Process a response; returns its ACK or NACK, and the changes of resources."""
 
     def subscribe(self, names: list[str], now: int) -> RequestT_co | None:
-        """Subscribe to more; None if there is nothing to send."""
+        """Subscribe to more names; None if there is nothing to send."""
 
     def unsubscribe(self, names: list[str]) -> RequestT_co | None:
-        """Unsubscribe; None if there is nothing to send."""
+        """Unsubscribe from names; None if there is nothing to send."""
 
 
 class StateOfTheWorldProtocol:
-    """The form in which each response brings all that is subscribed to."""
+    """The variant in which a response contains the complete state of the subscription."""
 
     def __init__(self, type_url: str, resources: ResourceTable, full: bool) -> None:
         """Start without a stream.
 
-        `full`: what a response leaves out is removed, as for clusters; else, as for endpoints, a response may
-        bring only some.
+        `full`: a resource that is absent from a response is removed, as for clusters. Otherwise a response
+        may contain only some of the resources, as for endpoints.
         """
         self.resources = resources
-        self.version = ""  # the last that was accepted; outlasts the stream
+        self.version = ""  # the last accepted version; kept across streams
         self._type_url = type_url
         self._full = full
         self._nonce = ""  # of the last response on this stream
@@ -106,19 +106,19 @@
         return DiscoveryRequest(self._type_url, self.version, names, self._nonce, error)
 
     def opened(self, now: int) -> DiscoveryRequest:
-        """A stream is up; its first request tells the version that was accepted on the one before."""
+        """Handle a newly opened stream; its first request has the version last accepted on an earlier one."""
         self._nonce = ""
         self.resources.opened(now)
         return self._request()
 
     def closed(self) -> None:
-        """The stream has ended."""
+        """Handle the end of the stream."""
         self.resources.closed()
 
     def received(self, response: DiscoveryResponse) -> tuple[DiscoveryRequest | None, list[ResourceEvent]]:
-        """Take a response; returns its ACK or NACK, and what has become of resources.
+        """Process a response; returns its ACK or NACK, and the changes of resources.
 
-        None after the stream's end: on another stream it would answer what that never sent.
+        After the end of the stream there is no ACK or NACK, since the next stream did not send the response.
         """
         if not self.resources.is_stream_open:
             return None, []
@@ -127,7 +127,7 @@
             ReceivedResource(resource.name, response.version, resource.body)
             for resource in response.resources
         )
-        events, faults = self.resources.take(versioned)
+        events, faults = self.resources.merge(versioned)
         if self._full:
             events += self._remove_absent(response)
         if not faults:
@@ -140,57 +140,57 @@
         return [event for event in map(self.resources.remove, absent) if event is not None]
 
     def subscribe(self, names: list[str], now: int) -> DiscoveryRequest | None:
-        """Subscribe to more; None if that is no change, or there is no stream."""
+        """Subscribe to more names; None if nothing changes, or no stream is open."""
         added = self.resources.subscribe(names, now)
         return self._request() if added and self.resources.is_stream_open else None
 
     def unsubscribe(self, names: list[str]) -> DiscoveryRequest | None:
-        """Unsubscribe; None if that is no change, or there is no stream."""
+        """Unsubscribe from names; None if nothing changes, or no stream is open."""
         dropped = self.resources.unsubscribe(names)
         return self._request() if dropped and self.resources.is_stream_open else None
 
 
 class DeltaProtocol:
-    """The incremental form, in which each response brings what has changed."""
+    """The incremental variant, in which a response contains only changes."""
 
     def __init__(self, type_url: str, resources: ResourceTable) -> None:
         self.resources = resources
         self._type_url = type_url
 
     def opened(self, now: int) -> DeltaDiscoveryRequest:
-        """A stream is up; its first request has the subscriptions and the versions that are held."""
+        """Handle a newly opened stream; its first request has the subscriptions and the held versions."""
         self.resources.opened(now)
         names = tuple(self.resources.names())
         return DeltaDiscoveryRequest(self._type_url, names, initial_versions=self.resources.versions())
 
     def closed(self) -> None:
-        """The stream has ended."""
+        """Handle the end of the stream."""
         self.resources.closed()
 
     def received(
         self,
         response: DeltaDiscoveryResponse,
     ) -> tuple[DeltaDiscoveryRequest | None, list[ResourceEvent]]:
-        """Take a response, as in the other form.
+        """Process a response; returns its ACK or NACK, and the changes of resources.
 
-        A name that is not subscribed to is no fault: it may have been subscribed to before.
+        A name without a subscription is not an error, since it may have been subscribed to before.
         """
         if not self.resources.is_stream_open:
             return None, []
-        events, faults = self.resources.take(response.resources)
+        events, faults = self.resources.merge(response.resources)
         events += [event for event in map(self.resources.remove, response.removed) if event is not None]
         answer = DeltaDiscoveryRequest(self._type_url, nonce=response.nonce, error=nack_message(faults))
         return answer, events
 
     def subscribe(self, names: list[str], now: int) -> DeltaDiscoveryRequest | None:
-        """Subscribe to more; None if that is no change, or there is no stream."""
+        """Subscribe to more names; None if nothing changes, or no stream is open."""
         added = self.resources.subscribe(names, now)
         if not added or not self.resources.is_stream_open:
             return None
         return DeltaDiscoveryRequest(self._type_url, subscribe=tuple(added))
 
     def unsubscribe(self, names: list[str]) -> DeltaDiscoveryRequest | None:
-        """Unsubscribe; None if that is no change, or there is no stream."""
+        """Unsubscribe from names; None if nothing changes, or no stream is open."""
         dropped = self.resources.unsubscribe(names)
         if not dropped or not self.resources.is_stream_open:
             return None
--- a/cairnvane/xds/resource_table.py
+++ b/cairnvane/xds/resource_table.py
@@ -1,4 +1,4 @@
-"""The resources of one type and their states, whichever form of the protocol brought them. No I/O, no clock.
+"""The resources of one type and their states, for both variants of the protocol. No I/O, no clock.
 
 Times are microseconds of the caller's clock.
 """
@@ -10,25 +10,25 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-# A requested resource that has not come within this time does not exist ('Knowing When a Requested Resource
-# Does Not Exist').
+# A requested resource that is not received within this time is considered not to exist ('Knowing When a
+# Requested Resource Does Not Exist').
 RESOURCE_TIMEOUT_US = 15_000_000
 WILDCARD = "*"
-# A NACK names so many faults of a response.
+# The maximum number of faults that a NACK lists.
 MAX_NAMED_FAULTS = 10
 
 
 class ResourceState(Enum):
     """The state of a resource."""
 
-    REQUESTED = "requested"  # nothing has come yet
+    REQUESTED = "requested"  # not received yet
     HELD = "held"
-    MISSING = "missing"  # requested, and did not come in time
+    MISSING = "missing"  # requested, but not received in time
     REMOVED = "removed"  # the server removed it
 
 
 class EventKind(Enum):
-    """What has become of a resource."""
+    """The kind of a resource's change."""
 
     UPDATED = "updated"
     REMOVED = "removed"
@@ -51,12 +51,13 @@
     state: ResourceState = ResourceState.REQUESTED
     version: str = ""
     value: Any = None
-    fault: str = ""  # of a version that came after the one that is held
+    fault: str = ""  # the fault of a version that was received after the held one
     missing_at: int | None = None  # None: the timeout is not running
 
 
-# Makes a value of a resource's name and body, whatever a transport has for a body; `ValueError` says what is
-# wrong with it. Equal values count as unchanged.
+# Decodes the name and the body of a resource to a value; the type of the body depends on the transport.
+# Raises `ValueError` with the reason if the resource is invalid. A resource with an equal value counts as
+# unchanged.
 Decode = Callable[[str, Any], Any]
 
 
@@ -69,17 +70,17 @@
 
 
 class ResourceTable:
-    """The resources of one type that are subscribed to."""
+    """The subscribed resources of one type."""
 
     def __init__(self, decode: Decode, names: Iterable[str] | None = None) -> None:
-        """`names` None: all that the server has (a wildcard subscription)."""
+        """`names` None: a wildcard subscription to all resources of the server."""
         self.is_wildcard = names is None
         self.entries: dict[str, Resource] = {name: Resource() for name in names or ()}
         self.is_stream_open = False
         self._decode = decode
 
     def names(self) -> list[str]:
-        """The names that are subscribed to; none for a wildcard subscription."""
+        """The subscribed names; empty for a wildcard subscription."""
         return [] if self.is_wildcard else sorted(self.entries)
 
     def held(self) -> dict[str, Any]:
@@ -87,7 +88,7 @@
         return {name: resource.value for name, resource in self._held_entries()}
 
     def versions(self) -> dict[str, str]:
-        """The version of each resource that is held, for a new stream."""
+        """The version of each held resource, for the first request of a new stream."""
         return {name: resource.version for name, resource in self._held_entries()}
 
     def _held_entries(self) -> list[tuple[str, Resource]]:
@@ -98,14 +99,14 @@
         ]
 
     def opened(self, now: int) -> None:
-        """A stream is up: the timeout of what has not come yet starts."""
+        """Handle a newly opened stream: start the timeout of resources not received yet."""
         self.is_stream_open = True
         for resource in self.entries.values():
             if resource.state is ResourceState.REQUESTED:
                 resource.missing_at = now + RESOURCE_TIMEOUT_US
 
     def closed(self) -> None:
-        """The stream has ended: no timeout runs, and all that is held remains valid."""
+        """Handle the end of the stream: stop all timeouts; held resources remain valid."""
         self.is_stream_open = False
         for resource in self.entries.values():
             resource.missing_at = None
@@ -119,16 +120,16 @@
         return added
 
     def unsubscribe(self, names: Iterable[str]) -> list[str]:
-        """Unsubscribe from names; returns those that were subscribed to. No event: the caller knows."""
+        """Unsubscribe from names; returns those that were subscribed to. Creates no events."""
         return [name for name in names if self.entries.pop(name, None) is not None]
 
-    def take(self, received: Iterable[ReceivedResource]) -> tuple[list[ResourceEvent], list[str]]:
+    def merge(self, received: Iterable[ReceivedResource]) -> tuple[list[ResourceEvent], list[str]]:
         """Merge the resources of one response; returns what has changed, and the faults."""
         events: list[ResourceEvent] = []
         faults: list[str] = []
         seen: set[str] = set()
         for name, version, body in received:
-            # Guards against taking it for one that nobody asked for, and accepting the response.
+            # Otherwise it would pass as a resource without subscription, and be accepted.
             if not name:
                 faults.append("a resource that can't be read, or has no name")
                 continue
@@ -146,14 +147,14 @@
         return events, faults
 
     def _put(self, name: str, version: str, body: Any) -> ResourceEvent | None:
-        """Merge one resource; `ValueError` says what is wrong with it.
+        """Merge one resource; raises `ValueError` with the reason if it is invalid.
 
-        A bad one leaves the last good one as it is, and shows that the resource exists.
+        An invalid version does not replace the last good one, but shows that the resource exists.
         """
         resource = self.entries.get(name)
         if resource is None:
             if not self.is_wildcard:
-                return None  # not subscribed to, or no longer
+                return None  # not subscribed to, or not any more
             resource = Resource()
             self.entries[name] = resource
         resource.missing_at = None
@@ -170,7 +171,7 @@
         return None if unchanged else ResourceEvent(EventKind.UPDATED, name, value)
 
     def remove(self, name: str) -> ResourceEvent | None:
-        """The server states that this resource does not exist; the event, if that is a change."""
+        """Mark a resource as removed by the server; returns an event if that is a change."""
         resource = self.entries.get(name)
         if resource is None:
             return None
@@ -182,12 +183,12 @@
         return None if was_removed else ResourceEvent(EventKind.REMOVED, name)
 
     def next_timeout_at(self) -> int | None:
-        """When the next resource is missing; None: no timeout is running."""
+        """When the next timeout of a resource ends; None if no timeout is running."""
         times = [resource.missing_at for resource in self.entries.values() if resource.missing_at is not None]
         return min(times, default=None)
 
     def expire(self, now: int) -> list[ResourceEvent]:
-        """Mark the resources whose timeout is over as missing."""
+        """Mark the resources whose timeout has ended as missing."""
         expired = [
             name
             for name, resource in self.entries.items()
--- a/cairnvane/xds/resources.py
+++ b/cairnvane/xds/resources.py
@@ -1,8 +1,7 @@
-"""Envoy's messages to descriptions, on the published message classes (xds-protos; the extra `xds`).
+"""Parses Envoy's messages into descriptions; requires xds-protos (the extra `xds`).
 
-`DescriptionError` names the field and what is wrong with it; the resource is then rejected, and the last good
-one remains active. `docs/load-balancing.md` has the table of fields that are understood, ignored and
-rejected.
+`DescriptionError` names the invalid field and the reason. The resource is then rejected, and its last good
+version remains active. `docs/load-balancing.md` lists which fields are supported, ignored and rejected.
 """
 
 from __future__ import annotations
@@ -21,12 +20,13 @@
 from ..load_balancing.circuit_breakers import CircuitBreakers, RetryBudget
 from ..load_balancing.cluster import MILLION, Assignment, Cluster, DropRate, LoadBalancingPolicy, Locality
 from ..load_balancing.endpoints import Address, EndpointDescription, EndpointHealth
-from ..load_balancing.locality_weights import OVERPROVISIONING, PANIC_THRESHOLD
+from ..load_balancing.locality_weights import OVERPROVISIONING_PERCENT, PANIC_THRESHOLD_PERCENT
 from ..load_balancing.weighted_choice import MAX_WEIGHT
 from .protocol import NamedResource
 from .session import ASSIGNMENT, CLUSTER
 
-# No names are resolved here, and there is no listener that could know an original destination.
+# DNS types are unsupported since no names are resolved here, ORIGINAL_DST since there is no listener that
+# could know an original destination.
 _DISCOVERY_TYPES = ("EDS", "STATIC")
 _CONFIG_SOURCES = ("ads", "self", None)
 _POLICIES = {
@@ -41,18 +41,18 @@
     health_check_pb2.TIMEOUT: EndpointHealth.UNHEALTHY,
     health_check_pb2.DRAINING: EndpointHealth.DRAINING,
     health_check_pb2.DEGRADED: EndpointHealth.DEGRADED,
-}  # all others, those of later versions too, count as healthy
-# How many in a million a numerator of one stands for, by denominator.
+}  # all other values, also those of later API versions, count as healthy
+# The parts per million of one numerator unit, by denominator.
 _PER_MILLION = {"HUNDRED": MILLION // 100, "TEN_THOUSAND": MILLION // 10_000, "MILLION": 1}
 _DEFAULT_ROUTING_PRIORITY = 0
-MAX_PRIORITY = 128  # the protocol's own bound
+MAX_PRIORITY = 128  # the protocol's limit
 MAX_PORT = 65_535
-MIN_OVERPROVISIONING = 100
-ADDRESS_DIGITS = "0123456789abcdefABCDEF"
+MIN_OVERPROVISIONING_PERCENT = 100
+HEX_DIGITS = "0123456789abcdefABCDEF"
 
 
 class DescriptionError(ValueError):
-    """A field of a description that is not understood; the text names it and what is wrong."""
+    """A field of a description is invalid; the text names the field and the reason."""
 
     def __init__(self, field: str, problem: object) -> None:
         super().__init__(f"{field}: {problem}")
@@ -72,7 +72,7 @@
 
 
 def parse_cluster(name: str, message: Any) -> Cluster:
-    """The cluster in a message, None if it could not be read; `DescriptionError` names what is wrong."""
+    """Parse a cluster; `message` is None if unreadable. Raises `DescriptionError` if it is invalid."""
     _require(message is not None, "resource", "no Cluster")
     name_matches = bool(message.name) and message.name == name
     _require(name_matches, "name", f"{message.name!r} in the resource {name!r}")
@@ -111,7 +111,7 @@
 def _panic_threshold(message: Any) -> float:
     config = message.common_lb_config
     if not config.HasField("healthy_panic_threshold"):
-        return PANIC_THRESHOLD
+        return PANIC_THRESHOLD_PERCENT
     percent: float = config.healthy_panic_threshold.value
     _require(0 <= percent <= 100, "common_lb_config.healthy_panic_threshold", percent)
     return percent
@@ -124,7 +124,7 @@
 
 
 def _circuit_breakers(message: Any) -> CircuitBreakers:
-    """Those of the routing priority DEFAULT; HIGH is for marked traffic, which does not occur here."""
+    """The thresholds of routing priority DEFAULT; HIGH is for marked traffic, which is not supported."""
     for thresholds in message.circuit_breakers.thresholds:
         if thresholds.priority == _DEFAULT_ROUTING_PRIORITY:
             return _thresholds(thresholds)
@@ -152,7 +152,7 @@
 
 
 def _number(message: Any, field: str, default: int) -> int:
-    """The value of a wrapped number, or its default if it is not set."""
+    """The value of a wrapped number field, or the default if it is not set."""
     return int(getattr(message, field).value) if message.HasField(field) else default
 
 
@@ -160,7 +160,7 @@
 
 
 def parse_assignment(name: str, message: Any) -> Assignment:
-    """The endpoints in a message, None if it could not be read; `DescriptionError` names what is wrong."""
+    """Parse an assignment; `message` is None if unreadable. Raises `DescriptionError` if it is invalid."""
     _require(message is not None, "resource", "no ClusterLoadAssignment")
     name_matches = bool(message.cluster_name) and message.cluster_name == name
     _require(name_matches, "cluster_name", f"{message.cluster_name!r} in the resource {name!r}")
@@ -174,16 +174,18 @@
     drops = tuple(
         _drop(f"policy.drop_overloads[{index}]", drop) for index, drop in enumerate(policy.drop_overloads)
     )
-    overprovisioning = _number(policy, "overprovisioning_factor", OVERPROVISIONING)
-    is_enough = overprovisioning >= MIN_OVERPROVISIONING
+    overprovisioning = _number(policy, "overprovisioning_factor", OVERPROVISIONING_PERCENT)
+    is_enough = overprovisioning >= MIN_OVERPROVISIONING_PERCENT
     _require(
-        is_enough, "policy.overprovisioning_factor", f"{overprovisioning} is below {MIN_OVERPROVISIONING}"
+        is_enough,
+        "policy.overprovisioning_factor",
+        f"{overprovisioning} is below {MIN_OVERPROVISIONING_PERCENT}",
     )
     return Assignment(name, localities, overprovisioning, drops)
 
 
 def _check_localities(localities: tuple[Locality, ...]) -> None:
-    """Priorities without gaps, weights within bounds, no locality twice in one priority."""
+    """Check for gaps in priorities, weights out of range and duplicate localities in a priority."""
     priorities = {locality.priority for locality in localities}
     missing = sorted(set(range(len(priorities))) - priorities)
     _require(not missing, "endpoints", f"priority {missing[:1]} is left out")
@@ -193,8 +195,8 @@
     for priority in priorities:
         total = totals[priority]
         _require(total <= MAX_WEIGHT, "endpoints", f"weights of priority {priority} add up to {total}")
-    places = [(locality.name, locality.priority) for locality in localities]
-    is_unique = len(set(places)) == len(places)
+    keys = [(locality.name, locality.priority) for locality in localities]
+    is_unique = len(set(keys)) == len(keys)
     _require(is_unique, "endpoints", "a locality stands twice in one priority")
 
 
@@ -207,7 +209,7 @@
 
 
 def _locality(field: str, message: Any, fields_by_address: dict[Address, str]) -> Locality:
-    """One locality; `fields_by_address` has the endpoints of all localities so far, and gets its own."""
+    """Parse one locality; adds its endpoints to `fields_by_address`, which finds duplicate addresses."""
     priority = message.priority
     _require(priority <= MAX_PRIORITY, f"{field}.priority", f"{priority} is above {MAX_PRIORITY}")
     parts = (message.locality.region, message.locality.zone, message.locality.sub_zone)
@@ -239,7 +241,7 @@
     _require(socket.WhichOneof("port_specifier") == "port_value", port_field, "missing")
     _require(0 < socket.port_value <= MAX_PORT, port_field, socket.port_value)
     digits = socket.address.replace(".", "").replace(":", "")
-    is_numeric = bool(digits) and all(digit in ADDRESS_DIGITS for digit in digits)
+    is_numeric = bool(digits) and all(digit in HEX_DIGITS for digit in digits)
     problem = f"{socket.address!r} is no address in figures; none is looked up"
     _require(is_numeric, f"{field}.address", problem)
     return socket.address, socket.port_value
@@ -248,17 +250,17 @@
 # --- resources
 
 
-class _Kind(NamedTuple):
-    """How resources of one type are read."""
+class _ResourceType(NamedTuple):
+    """How resources of one type are parsed."""
 
     message_class: Any
     name_field: str
     parse: Callable[[str, Any], Any]
 
 
-_KINDS: dict[str, _Kind] = {
-    CLUSTER: _Kind(cluster_pb2.Cluster, "name", parse_cluster),
-    ASSIGNMENT: _Kind(endpoint_pb2.ClusterLoadAssignment, "cluster_name", parse_assignment),
+_RESOURCE_TYPES: dict[str, _ResourceType] = {
+    CLUSTER: _ResourceType(cluster_pb2.Cluster, "name", parse_cluster),
+    ASSIGNMENT: _ResourceType(endpoint_pb2.ClusterLoadAssignment, "cluster_name", parse_assignment),
 }
 
 
@@ -266,21 +268,21 @@
 
 
 def parse_resource(type_url: str, body: bytes) -> NamedResource:
-    """The name that a resource gives itself, and its message; `UNREADABLE` if it can't be read."""
-    if type_url not in _KINDS:
+    """The name in a resource's own message, and the message; `UNREADABLE` if parsing fails."""
+    if type_url not in _RESOURCE_TYPES:
         return UNREADABLE
-    kind = _KINDS[type_url]
+    resource_type = _RESOURCE_TYPES[type_url]
     try:
-        message = kind.message_class.FromString(body)
+        message = resource_type.message_class.FromString(body)
     except DecodeError:
         return UNREADABLE
-    return NamedResource(str(getattr(message, kind.name_field)), message)
+    return NamedResource(str(getattr(message, resource_type.name_field)), message)
 
 
 def check_json(text: str) -> tuple[list[Cluster | Assignment], list[str]]:
-    """Read a description from a file: a DiscoveryResponse in JSON, with `resources`.
+    """Parse a DiscoveryResponse in JSON that has `resources`.
 
-    Returns the good resources, and a line for each bad one. `ValueError` if the text is no such response.
+    Returns the valid resources, and a line for each invalid one. Raises `ValueError` for any other text.
     """
     try:
         document = json.loads(text)
@@ -303,13 +305,13 @@
     if not isinstance(entry, dict):
         raise DescriptionError("@type", "no object")
     type_url = entry.get("@type")
-    _require(type_url in _KINDS, "@type", f"{type_url!r} is not understood")
-    kind = _KINDS[str(type_url)]
+    _require(type_url in _RESOURCE_TYPES, "@type", f"{type_url!r} is not understood")
+    resource_type = _RESOURCE_TYPES[str(type_url)]
     fields = {name: value for name, value in entry.items() if name != "@type"}
     try:
-        message = json_format.ParseDict(fields, kind.message_class())
+        message = json_format.ParseDict(fields, resource_type.message_class())
     except json_format.ParseError as error:
         message_name = str(type_url).rpartition(".")[2]
         raise DescriptionError(message_name, str(error).splitlines()[0]) from None
-    parsed: Cluster | Assignment = kind.parse(getattr(message, kind.name_field), message)
+    parsed: Cluster | Assignment = resource_type.parse(getattr(message, resource_type.name_field), message)
     return parsed
--- a/cairnvane/xds/session.py
+++ b/cairnvane/xds/session.py
@@ -1,8 +1,7 @@
-"""One aggregated stream: clusters and their endpoints together. No I/O, no clock; a transport drives it.
+"""One aggregated stream with clusters and their endpoints. No I/O, no clock; a transport drives it.
 
-Endpoints are subscribed to by the names that the clusters give, as soon as they give them, and unsubscribed
-from when no active cluster needs them. Each method returns what is to be sent, in order, and which clusters
-have changed.
+Endpoints are subscribed to as soon as a cluster names them, and unsubscribed from when no active or waiting
+cluster needs them. Each method returns the requests to send, in order, and the changed clusters.
 """
 
 from __future__ import annotations
@@ -35,11 +34,11 @@
 
     send: list[RequestT] = field(default_factory=list)
     changes: list[ClusterChange] = field(default_factory=list)
-    missing: list[str] = field(default_factory=list)  # endpoints that were requested and did not come
+    missing: list[str] = field(default_factory=list)  # requested endpoints that were not received in time
 
 
 class Session(Generic[RequestT, ResponseT]):
-    """Both subscriptions of a stream; made by `make_state_of_the_world` or `make_delta`."""
+    """The two subscriptions of a stream; created by `make_state_of_the_world` or `make_delta`."""
 
     def __init__(
         self,
@@ -49,11 +48,11 @@
         self.view = ClusterView()
         self._clusters = clusters
         self._endpoints = endpoints
-        # A first request without names would subscribe to all endpoints: it waits for a name.
+        # A first request without names would subscribe to all endpoints, so it waits for a name.
         self._endpoints_requested = False
 
     def opened(self, now: int) -> Step[RequestT]:
-        """A stream is up."""
+        """Handle a newly opened stream."""
         step: Step[RequestT] = Step()
         self._endpoints_requested = False
         step.send.append(self._clusters.opened(now))
@@ -61,12 +60,12 @@
         return step
 
     def closed(self) -> None:
-        """The stream has ended; all that is active remains so."""
+        """Handle the end of the stream; active clusters remain active."""
         self._clusters.closed()
         self._endpoints.closed()
 
     def received(self, type_url: str, response: ResponseT, now: int) -> Step[RequestT]:
-        """Take a response of a type; one of a type that was not requested gets no answer."""
+        """Process a response; one of a type that was not requested is ignored."""
         step: Step[RequestT] = Step()
         if type_url == CLUSTER:
             answer, events = self._clusters.received(response)
@@ -87,32 +86,34 @@
         return self.view.remove_cluster(event.name)
 
     def _on_assignment(self, event: ResourceEvent) -> list[ClusterChange]:
-        """A removed or missing resource says nothing of the endpoints.
+        """Apply updated endpoints; a removed or missing resource says nothing about the endpoints.
 
-        The last good ones remain active until their cluster is removed or names others.
+        The last good endpoints remain active until their cluster is removed or names another service.
         """
         if event.kind is EventKind.UPDATED:
             return self.view.update_assignment(event.value)
         return []
 
     def _update_subscriptions(self, step: Step[RequestT], now: int) -> None:
-        """Subscribe to the endpoints that are needed, and to no others."""
+        """Subscribe to the needed endpoints, and unsubscribe from all others."""
         needed = self.view.needed_services()
         subscribed = set(self._endpoints.resources.entries)
-        more = self._endpoints.subscribe(sorted(needed - subscribed), now)
-        fewer = self._endpoints.unsubscribe(sorted(subscribed - needed))
+        subscribe_request = self._endpoints.subscribe(sorted(needed - subscribed), now)
+        unsubscribe_request = self._endpoints.unsubscribe(sorted(subscribed - needed))
         if self._endpoints_requested:
-            step.send += [request for request in (more, fewer) if request is not None]
+            step.send += [
+                request for request in (subscribe_request, unsubscribe_request) if request is not None
+            ]
         elif needed and self._clusters.resources.is_stream_open:
             self._endpoints_requested = True
             step.send.append(self._endpoints.opened(now))
 
     def next_timeout_at(self) -> int | None:
-        """When `expire` is wanted; None: not at all."""
+        """When to call `expire` next; None if no timeout is running."""
         return self._endpoints.resources.next_timeout_at()
 
     def expire(self, now: int) -> Step[RequestT]:
-        """Report the endpoints that did not come in time."""
+        """Report the endpoints that were not received in time."""
         return Step(missing=[event.name for event in self._endpoints.resources.expire(now)])
 
 
@@ -120,7 +121,7 @@
     cluster: Decode,
     assignment: Decode,
 ) -> Session[DiscoveryRequest, DiscoveryResponse]:
-    """A session of the form in which each response brings all that is subscribed to."""
+    """Create a session of the state-of-the-world variant."""
     clusters = StateOfTheWorldProtocol(CLUSTER, ResourceTable(cluster), full=True)
     endpoints = StateOfTheWorldProtocol(ASSIGNMENT, ResourceTable(assignment, ()), full=False)
     return Session(clusters, endpoints)
@@ -130,7 +131,7 @@
     cluster: Decode,
     assignment: Decode,
 ) -> Session[DeltaDiscoveryRequest, DeltaDiscoveryResponse]:
-    """A session of the form in which each response brings what has changed."""
+    """Create a session of the incremental variant."""
     clusters = DeltaProtocol(CLUSTER, ResourceTable(cluster))
     endpoints = DeltaProtocol(ASSIGNMENT, ResourceTable(assignment, ()))
     return Session(clusters, endpoints)
--- a/tests/load_balancing/test_circuit_breakers.py
+++ b/tests/load_balancing/test_circuit_breakers.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "keyed", "may"),
+    ("outcome", "has_effect", "expected"),
     [
         (Outcome.REJECTED, True, True),
         (Outcome.UNREACHED, True, True),
@@ -37,7 +37,7 @@
         (Outcome.OK, False, False),
     ],
 )
-def test_a_keyed_call_is_retried_elsewhere_only_if_it_never_executed(
-    outcome: Outcome, keyed: bool, may: bool
+def test_a_call_with_effect_is_retried_elsewhere_only_if_it_never_executed(
+    outcome: Outcome, has_effect: bool, expected: bool
 ) -> None:
-    assert may_retry_elsewhere(outcome, keyed) is may
+    assert may_retry_elsewhere(outcome, has_effect) is expected
--- a/tests/load_balancing/test_locality_weights.py
+++ b/tests/load_balancing/test_locality_weights.py
@@ -20,14 +20,14 @@
 @pytest.mark.parametrize(
     ("healthy", "loads"),
     [
-        # Envoy, 'Priority levels': two priorities, the second wholly healthy.
+        # Envoy, 'Priority levels': two priorities, the second fully healthy.
         ((100, 100), [100, 0]),
         ((72, 100), [100, 0]),
         ((71, 100), [99, 1]),
         ((50, 100), [70, 30]),
         ((25, 100), [35, 65]),
         ((0, 100), [0, 100]),
-        # And with a second one that is not: below 100 in all, health is normalized.
+        # The second priority is not fully healthy: a total health below 100 is normalized.
         ((72, 72), [100, 0]),
         ((71, 71), [99, 1]),
         ((50, 50), [70, 30]),
@@ -49,19 +49,19 @@
     ("healthy", "panics"),
     [
         ((72, 72), [False, False]),
-        ((25, 100), [False, False]),  # together they have health enough
+        ((25, 100), [False, False]),  # their total health is sufficient
         ((25, 25), [True, True]),
         ((5, 65), [True, False]),
         ((0, 0), [True, True]),
     ],
 )
-def test_panic_mode_only_where_all_priorities_together_lack_health(
+def test_panic_mode_applies_only_if_total_health_is_insufficient(
     healthy: tuple[int, ...], panics: list[bool]
 ) -> None:
     assert [level.panic for level in priority_loads(levels(*healthy))] == panics
 
 
-def test_without_healthy_endpoints_loads_go_by_size_and_without_endpoints_nowhere() -> None:
+def test_without_healthy_endpoints_loads_go_by_size_and_are_0_without_endpoints() -> None:
     assert [level.load for level in priority_loads([HealthCount(0, 30), HealthCount(0, 10)])] == [75, 25]
     assert [level.load for level in priority_loads([HealthCount(0, 0), HealthCount(0, 0)])] == [0, 0]
     assert [level.load for level in priority_loads([HealthCount(0, 0), HealthCount(3, 3)])] == [0, 100]
@@ -90,5 +90,5 @@
     ],
 )
 def test_localities_share_by_weight_and_health(healthy: tuple[int, int], shares: tuple[int, int]) -> None:
-    got = locality_shares([HealthCount(healthy[0], 100, weight=1), HealthCount(healthy[1], 100, weight=2)])
-    assert tuple(round(100 * share) for share in got) == shares
+    actual = locality_shares([HealthCount(healthy[0], 100, weight=1), HealthCount(healthy[1], 100, weight=2)])
+    assert tuple(round(100 * share) for share in actual) == shares
--- a/tests/load_balancing/test_maglev.py
+++ b/tests/load_balancing/test_maglev.py
@@ -8,7 +8,7 @@
 
 
 def test_the_table_shares_by_weight_and_moves_few_keys() -> None:
-    """'For a change in N members about 1/N of keys move'; Maglev allows for a little more."""
+    """'For a change in N members about 1/N of keys move'; Maglev moves slightly more."""
     weights = {f"e{n}": 1 + n % 3 for n in range(20)}
     table = Maglev(weights)
     for key, share in table.shares().items():
--- a/tests/load_balancing/test_outlier_detection.py
+++ b/tests/load_balancing/test_outlier_detection.py
@@ -22,7 +22,11 @@
     for key in "bcd":
         detector.record_result(key, False, 10, 30)
         detector.record_result(key, False, 10, 30)
-    assert [detector.is_ejected(key) for key in "bcd"] == [True, True, False]  # a fifth of ten at the most
+    assert [detector.is_ejected(key) for key in "bcd"] == [
+        True,
+        True,
+        False,
+    ]  # at most 20 percent of ten endpoints
     detector.forget("b")
     assert not detector.is_ejected("b")
 
--- a/tests/load_balancing/test_weighted_choice.py
+++ b/tests/load_balancing/test_weighted_choice.py
@@ -1,4 +1,4 @@
-"""Weighted choice, against a plain list and against its distribution."""
+"""Weighted choice, compared with a plain list and with its expected distribution."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(STEPS)
-def test_the_tree_draws_what_a_list_draws(steps: list[tuple[str, int, int]]) -> None:
+def test_the_tree_draws_the_same_endpoints_as_a_list(steps: list[tuple[str, int, int]]) -> None:
     tree: Weighted[int] = Weighted()
     plain: dict[int, list[int]] = {}
     for operation, key, weight in steps:
@@ -48,14 +48,14 @@
         weight, active = plain[key]
         assert (tree.weight(key), tree.active(key)) == (weight, active)
         if weight:
-            for number in (first, first + weight - 1):  # its first and its last
+            for number in (first, first + weight - 1):  # the first and the last number of its range
                 assert tree._keys[tree._find(number)] == key
         first += weight
     if not tree.total:
-        assert tree.draw(lambda most: 0) is None and tree.choose(lambda most: 0) is None
+        assert tree.draw(lambda bound: 0) is None and tree.choose(lambda bound: 0) is None
 
 
-def test_draws_go_by_weight_and_a_busy_endpoint_gets_fewer() -> None:
+def test_draws_are_proportional_to_weight_and_a_busy_endpoint_gets_fewer_calls() -> None:
     tree: Weighted[str] = Weighted()
     for key, weight in (("a", 1), ("b", 2), ("c", 5), ("none", 0)):
         tree.put(key, weight)
--- a/tests/xds_client/test_xds.py
+++ b/tests/xds_client/test_xds.py
@@ -1,4 +1,4 @@
-"""The xDS client's state machine, against a reference server."""
+"""The state machine of the xDS client, compared with a reference server."""
 
 from __future__ import annotations
 
@@ -43,8 +43,8 @@
 
 
 def response(version: str, **bodies: str) -> DiscoveryResponse:
-    found = tuple(NamedResource(name, body.encode()) for name, body in bodies.items())
-    return DiscoveryResponse(version, f"nonce-{version}", found)
+    resources = tuple(NamedResource(name, body.encode()) for name, body in bodies.items())
+    return DiscoveryResponse(version, f"nonce-{version}", resources)
 
 
 def test_ack_and_nack_as_published() -> None:
@@ -72,21 +72,21 @@
     assert (protocol.resources.held(), partial.resources.held()) == ({"a": "x"}, {"a": "x", "b": "y"})
 
 
-def test_a_new_stream_has_the_version_without_nonce_and_ignores_the_old_stream() -> None:
+def test_a_new_stream_sends_the_version_without_nonce_and_ignores_the_old_stream() -> None:
     protocol = state_of_the_world("a", full=False)
     protocol.received(response("7", a="x"))
     protocol.closed()
     assert protocol.received(response("8", a="late")) == (None, [])
     first = protocol.opened(5)
     assert (first.version, first.nonce, first.names) == ("7", "", ("a",))
-    # A management server that was restarted may have older versions: it is the one that counts.
+    # A restarted management server may send older versions, which must be accepted.
     ack, events = protocol.received(response("2", a="older"))
     assert (
         ack is not None and ack.version == "2" and events == [ResourceEvent(EventKind.UPDATED, "a", "older")]
     )
 
 
-def test_a_delta_stream_begins_with_the_held_versions() -> None:
+def test_a_delta_stream_starts_with_the_held_versions() -> None:
     protocol = delta()
     protocol.received(
         DeltaDiscoveryResponse(
@@ -121,8 +121,8 @@
 
 
 @pytest.mark.parametrize("make", [state_of_the_world, delta])
-def test_a_resource_that_does_not_come_within_15_s_of_a_stream_is_missing(make: Any) -> None:
-    """'Knowing When a Requested Resource Does Not Exist'; the time does not run without a stream."""
+def test_a_resource_not_received_within_15_s_of_a_stream_is_missing(make: Any) -> None:
+    """'Knowing When a Requested Resource Does Not Exist'; the timeout stops while no stream is open."""
     protocol = make("a", "b")
     protocol.closed()
     assert protocol.resources.next_timeout_at() is None
@@ -132,7 +132,7 @@
         protocol.received(response("1", b="bad"))
     else:
         protocol.received(DeltaDiscoveryResponse("n", (ReceivedResource("b", "1", b"bad"),)))
-    # A bad one shows that it exists.
+    # An invalid version shows that the resource exists.
     assert protocol.resources.expire(100 + RESOURCE_TIMEOUT_US) == [ResourceEvent(EventKind.MISSING, "a")]
     assert protocol.resources.entries["a"].state is ResourceState.MISSING
     protocol.subscribe(["c"], 200 + RESOURCE_TIMEOUT_US)
@@ -148,7 +148,7 @@
 
 
 def test_a_resource_without_a_name_is_a_fault() -> None:
-    """Guards against passing over unreadable bytes, and accepting their response."""
+    """Guards against ignoring unreadable bytes and accepting their response."""
     nack, _ = state_of_the_world("a", full=False).received(
         DiscoveryResponse("1", "n", (NamedResource("", b"\xff"),))
     )
@@ -166,29 +166,30 @@
 
 
 class ReferenceServer(RuleBasedStateMachine):
-    """A server with a truth, a client of each form, and streams that are cut at any message."""
+    """A reference server with one client of each variant, whose streams may end after any message."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.truth: dict[str, tuple[int, str]] = {}
+        self.resources: dict[str, tuple[int, str]] = {}
         self.version = self.nonce = 0
         self.world = StateOfTheWorldProtocol(TYPE, ResourceTable(decode), True)
         self.delta = DeltaProtocol(TYPE, ResourceTable(decode))
-        self.good: dict[str, dict[str, str]] = {"world": {}, "delta": {}}  # what each must hold
-        self.sent: dict[str, int] = {}  # what the delta server believes that the client has
+        # The resources that each client must hold.
+        self.good: dict[str, dict[str, str]] = {"world": {}, "delta": {}}
+        self.sent: dict[str, int] = {}  # the versions that the server assumes the delta client to have
         self.removed: set[str] = set()
         self.up = False
-        self.told = -1  # the version that the world client was last sent
+        self.last_sent_version = -1
 
     @rule(name=NAMES, body=BODIES)
     def change(self, name: str, body: str) -> None:
         self.version += 1
-        self.truth[name] = self.version, body
+        self.resources[name] = self.version, body
 
     @rule(name=NAMES)
-    def take_away(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         self.version += 1
-        self.truth.pop(name, None)
+        self.resources.pop(name, None)
 
     @precondition(lambda self: not self.up)
     @rule()
@@ -208,51 +209,56 @@
     @rule()
     def push_world(self) -> None:
         self.nonce += 1
-        bodies = tuple(NamedResource(name, body.encode()) for name, (_, body) in sorted(self.truth.items()))
+        bodies = tuple(
+            NamedResource(name, body.encode()) for name, (_, body) in sorted(self.resources.items())
+        )
         answer, _ = self.world.received(DiscoveryResponse(str(self.version), f"n{self.nonce}", bodies))
         if not self.up:
             assert answer is None
             return
         assert answer is not None and answer.nonce == f"n{self.nonce}"
-        bad = [name for name, (_, body) in self.truth.items() if body == "bad"]
+        bad = [name for name, (_, body) in self.resources.items() if body == "bad"]
         assert bool(answer.error) is bool(bad) and all(name in answer.error for name in bad)
         self._expect("world")
 
-    @rule(most=st.integers(1, 4), again=st.booleans())
-    def push_delta(self, most: int, again: bool) -> None:
-        """Some of what has changed; `again`: something that the client has, once more."""
+    @rule(limit=st.integers(1, 4), again=st.booleans())
+    def push_delta(self, limit: int, again: bool) -> None:
+        """Send some of the changes; `again`: also resources that the client already has."""
         self.nonce += 1
         new = [
             name
-            for name, (version, _) in sorted(self.truth.items())
+            for name, (version, _) in sorted(self.resources.items())
             if again or self.sent.get(name) != version
-        ][:most]
-        gone = tuple(name for name in self.sent if name not in self.truth)
+        ][:limit]
+        removed_names = tuple(name for name in self.sent if name not in self.resources)
         resources = tuple(
-            ReceivedResource(name, str(self.truth[name][0]), self.truth[name][1].encode()) for name in new
+            ReceivedResource(name, str(self.resources[name][0]), self.resources[name][1].encode())
+            for name in new
         )
-        answer, _ = self.delta.received(DeltaDiscoveryResponse(f"n{self.nonce}", resources, gone))
+        answer, _ = self.delta.received(DeltaDiscoveryResponse(f"n{self.nonce}", resources, removed_names))
         if not self.up:
             assert answer is None
             return
         assert answer is not None and answer.nonce == f"n{self.nonce}"
         for name in new:
-            self.sent[name] = self.truth[name][0]
-        for name in gone:
+            self.sent[name] = self.resources[name][0]
+        for name in removed_names:
             del self.sent[name]
-        self._expect("delta", new, gone)
-
-    def _expect(self, form: str, new: list[str] | None = None, gone: tuple[str, ...] | None = None) -> None:
-        held = self.good[form]
-        for name in list(held) if gone is None else gone:
-            if name not in self.truth:
+        self._expect("delta", new, removed_names)
+
+    def _expect(
+        self, variant: str, new: list[str] | None = None, removed_names: tuple[str, ...] | None = None
+    ) -> None:
+        held = self.good[variant]
+        for name in list(held) if removed_names is None else removed_names:
+            if name not in self.resources:
                 held.pop(name, None)
-        for name in self.truth if new is None else new:
-            if self.truth[name][1] != "bad":
-                held[name] = self.truth[name][1]
+        for name in self.resources if new is None else new:
+            if self.resources[name][1] != "bad":
+                held[name] = self.resources[name][1]
 
     @invariant()
-    def each_holds_the_last_good_version(self) -> None:
+    def each_client_holds_the_last_good_versions(self) -> None:
         assert self.world.resources.held() == self.good["world"]
         assert self.delta.resources.held() == self.good["delta"]
 
--- a/tests/xds_client/test_xds_grpc.py
+++ b/tests/xds_client/test_xds_grpc.py
@@ -1,4 +1,4 @@
-"""The stream over gRPC, against the stand-in management server on loopback, in both forms."""
+"""The gRPC stream in both variants, with the stand-in management server on loopback."""
 
 from __future__ import annotations
 
@@ -20,35 +20,37 @@
 LEDGER = cluster_pb2.Cluster(name="ledger", type="EDS")
 
 
-def ports(*found: int) -> Any:
-    told = {"cluster_name": "ledger", "endpoints": [{"lb_endpoints": [endpoint(port) for port in found]}]}
-    return json_format.ParseDict(told, endpoint_pb2.ClusterLoadAssignment())
+def assignment_message(*ports: int) -> Any:
+    fields = {"cluster_name": "ledger", "endpoints": [{"lb_endpoints": [endpoint(port) for port in ports]}]}
+    return json_format.ParseDict(fields, endpoint_pb2.ClusterLoadAssignment())
 
 
 class Client:
     def __init__(self, delta: bool) -> None:
-        self.server, self.told = StandInManagement(), SimpleQueue[Any]()
-        self.stream = GrpcStream(self.server.address, "n3", lambda step: self.told.put(step), delta=delta)
+        self.server, self.steps = StandInManagement(), SimpleQueue[Any]()
+        self.stream = GrpcStream(self.server.address, "n3", lambda step: self.steps.put(step), delta=delta)
         self.stream.start()
 
-    def asked(self, type_url: str) -> Any:
-        told = self.server.asked.get(timeout=WAIT_S)
-        assert told.type_url == type_url, told
-        return told
+    def next_request(self, type_url: str) -> Any:
+        request = self.server.asked.get(timeout=WAIT_S)
+        assert request.type_url == type_url, request
+        return request
 
-    def changed(self) -> list[int]:
-        [change] = self.told.get(timeout=WAIT_S).changes
+    def next_changed_ports(self) -> list[int]:
+        [change] = self.steps.get(timeout=WAIT_S).changes
         assert change.ready is not None
-        return sorted(at[1] for one in change.ready.assignment.localities for at in one.endpoints)
+        return sorted(
+            address[1] for locality in change.ready.assignment.localities for address in locality.endpoints
+        )
 
-    def begin(self) -> None:
-        assert self.asked(CLUSTER).node.id == "n3"
+    def subscribe(self) -> None:
+        assert self.next_request(CLUSTER).node.id == "n3"
         self.server.push({"ledger": LEDGER}, CLUSTER)
-        assert self.asked(CLUSTER).response_nonce  # the ACK
-        self.asked(ASSIGNMENT)
-        self.server.push({"ledger": ports(1, 2)}, ASSIGNMENT)
-        assert self.changed() == [1, 2]
-        assert not self.asked(ASSIGNMENT).HasField("error_detail")
+        assert self.next_request(CLUSTER).response_nonce  # the ACK
+        self.next_request(ASSIGNMENT)
+        self.server.push({"ledger": assignment_message(1, 2)}, ASSIGNMENT)
+        assert self.next_changed_ports() == [1, 2]
+        assert not self.next_request(ASSIGNMENT).HasField("error_detail")
 
 
 @pytest.fixture(params=[False, True], ids=["state of the world", "delta"])
@@ -60,51 +62,51 @@
 
 
 def test_a_bad_update_is_rejected_with_its_reason_and_a_good_one_follows(client: Client) -> None:
-    client.begin()
-    nonce = client.server.push({"ledger": ports(1, 0)}, ASSIGNMENT)
-    nack = client.asked(ASSIGNMENT)
+    client.subscribe()
+    nonce = client.server.push({"ledger": assignment_message(1, 0)}, ASSIGNMENT)
+    nack = client.next_request(ASSIGNMENT)
     assert (nack.response_nonce, nack.error_detail.code) == (nonce, 3)
     assert "port_value: 0" in nack.error_detail.message
-    client.server.push({"ledger": ports(3)}, ASSIGNMENT)
-    assert client.changed() == [3]
+    client.server.push({"ledger": assignment_message(3)}, ASSIGNMENT)
+    assert client.next_changed_ports() == [3]
 
 
 def test_a_broken_stream_is_reopened_and_active_clusters_remain(client: Client) -> None:
-    client.begin()
+    client.subscribe()
     client.server.cut()
-    again = client.asked(CLUSTER)
-    assert client.server.streams == 2 and not again.response_nonce
-    assert client.asked(ASSIGNMENT).type_url == ASSIGNMENT
+    first_request = client.next_request(CLUSTER)
+    assert client.server.streams == 2 and not first_request.response_nonce
+    assert client.next_request(ASSIGNMENT).type_url == ASSIGNMENT
     assert set(client.stream.session.view.ready) == {"ledger"}
-    client.server.push({"ledger": ports(4)}, ASSIGNMENT)
-    assert client.changed() == [4]
+    client.server.push({"ledger": assignment_message(4)}, ASSIGNMENT)
+    assert client.next_changed_ports() == [4]
 
 
-def test_endpoints_that_do_not_come_in_time_are_reported(
+def test_endpoints_not_received_in_time_are_reported(
     client: Client,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("cairnvane.xds.resource_table.RESOURCE_TIMEOUT_US", 20_000)
-    client.asked(CLUSTER)
+    client.next_request(CLUSTER)
     client.server.push({"ledger": LEDGER}, CLUSTER)
-    step = client.told.get(timeout=WAIT_S)
+    step = client.steps.get(timeout=WAIT_S)
     assert (step.missing, step.changes) == (["ledger"], [])
-    client.server.push({"ledger": ports(6)}, ASSIGNMENT)  # later than late is not never
-    assert client.changed() == [6]
+    client.server.push({"ledger": assignment_message(6)}, ASSIGNMENT)  # still accepted after the timeout
+    assert client.next_changed_ports() == [6]
 
 
 def test_a_resource_of_another_type_than_its_response_is_a_fault(client: Client) -> None:
-    """Guards against reading its bytes as if they were of the response's type."""
-    client.begin()
-    client.server.push({"ledger": ports(9)}, ASSIGNMENT, inner=CLUSTER)
-    assert client.asked(ASSIGNMENT).error_detail.message
-    client.server.push({"ledger": ports(7)}, ASSIGNMENT)
-    assert client.changed() == [7]
+    """Guards against parsing its bytes as the response's type."""
+    client.subscribe()
+    client.server.push({"ledger": assignment_message(9)}, ASSIGNMENT, inner=CLUSTER)
+    assert client.next_request(ASSIGNMENT).error_detail.message
+    client.server.push({"ledger": assignment_message(7)}, ASSIGNMENT)
+    assert client.next_changed_ports() == [7]
 
 
 def test_unreadable_bytes_do_not_end_the_stream(client: Client) -> None:
-    client.begin()
+    client.subscribe()
     client.server.push({"ledger": b"\xff\xff"}, ASSIGNMENT)
-    assert client.asked(ASSIGNMENT).error_detail.message
-    client.server.push({"ledger": ports(5)}, ASSIGNMENT)
-    assert client.changed() == [5]
+    assert client.next_request(ASSIGNMENT).error_detail.message
+    client.server.push({"ledger": assignment_message(5)}, ASSIGNMENT)
+    assert client.next_changed_ports() == [5]
--- a/tests/xds_client/test_xds_resources.py
+++ b/tests/xds_client/test_xds_resources.py
@@ -1,4 +1,4 @@
-"""Envoy's messages to descriptions: what is understood, what is rejected, and make before break."""
+"""Parsing of Envoy's messages, rejection of invalid ones, and activation of clusters (make before break)."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from cairnvane.xds.session import ASSIGNMENT, CLUSTER
 
 
-def endpoint(port: Any = 80, address: str = "10.0.0.1", **more: Any) -> dict[str, Any]:
-    return {"endpoint": {"address": {"socket_address": {"address": address, "port_value": port}}}, **more}
+def endpoint(port: Any = 80, address: str = "10.0.0.1", **fields: Any) -> dict[str, Any]:
+    return {"endpoint": {"address": {"socket_address": {"address": address, "port_value": port}}}, **fields}
 
 
-def cluster(**more: Any) -> dict[str, Any]:
-    return {"@type": CLUSTER, "name": "ledger", "type": "EDS", **more}
+def cluster(**fields: Any) -> dict[str, Any]:
+    return {"@type": CLUSTER, "name": "ledger", "type": "EDS", **fields}
 
 
-def assignment(*endpoints: dict[str, Any], **more: Any) -> dict[str, Any]:
-    return {"@type": ASSIGNMENT, "cluster_name": "ledger", "endpoints": list(endpoints), **more}
+def assignment(*endpoints: dict[str, Any], **fields: Any) -> dict[str, Any]:
+    return {"@type": ASSIGNMENT, "cluster_name": "ledger", "endpoints": list(endpoints), **fields}
 
 
-def read_one(told: dict[str, Any]) -> Any:
-    good, bad = resources.check_json(json.dumps({"resources": [told]}))
+def parse_one(resource: dict[str, Any]) -> Any:
+    good, bad = resources.check_json(json.dumps({"resources": [resource]}))
     assert not bad, bad
     return good[0]
 
 
-def test_a_cluster_is_read_with_its_circuit_breakers() -> None:
-    told = read_one(
+def test_a_cluster_is_parsed_with_its_circuit_breakers() -> None:
+    parsed = parse_one(
         cluster(
             lb_policy="LEAST_REQUEST",
             eds_cluster_config={"service_name": "ledger-eds", "eds_config": {"ads": {}}},
@@ -51,7 +51,7 @@
             },
         )
     )
-    assert told == Cluster(
+    assert parsed == Cluster(
         "ledger",
         "ledger-eds",
         LoadBalancingPolicy.LEAST_REQUEST,
@@ -61,8 +61,8 @@
     )
 
 
-def test_endpoints_are_read_with_weights_health_and_drops() -> None:
-    told = read_one(
+def test_endpoints_are_parsed_with_weights_health_and_drops() -> None:
+    parsed = parse_one(
         assignment(
             {
                 "locality": {"region": "mn", "zone": "khan-uul"},
@@ -76,15 +76,17 @@
             policy={"drop_overloads": [{"category": "lb", "drop_percentage": {"numerator": 5}}]},
         )
     )
-    assert told.priority_count() == 2 and told.drops == (("lb", 50_000),) and told.overprovisioning == 140
-    near, far = told.localities
-    assert (near.name, near.weight, near.priority) == ("mn/khan-uul", 3, 0)
-    assert near.endpoints[("10.0.0.1", 81)] == EndpointDescription(5, EndpointHealth.DRAINING)
-    assert far.endpoints == {("::1", 80): EndpointDescription(1, EndpointHealth.UNHEALTHY)}
+    assert (
+        parsed.priority_count() == 2 and parsed.drops == (("lb", 50_000),) and parsed.overprovisioning == 140
+    )
+    first, second = parsed.localities
+    assert (first.name, first.weight, first.priority) == ("mn/khan-uul", 3, 0)
+    assert first.endpoints[("10.0.0.1", 81)] == EndpointDescription(5, EndpointHealth.DRAINING)
+    assert second.endpoints == {("::1", 80): EndpointDescription(1, EndpointHealth.UNHEALTHY)}
 
 
 @pytest.mark.parametrize(
-    ("told", "words"),
+    ("resource", "words"),
     [
         (cluster(type="STRICT_DNS"), ["type: STRICT_DNS is refused"]),
         (cluster(name=""), ["name:"]),
@@ -115,9 +117,9 @@
         (3, ["no object"]),
     ],
 )
-def test_a_bad_resource_is_rejected_with_its_field(told: Any, words: list[str]) -> None:
-    good, bad = resources.check_json(json.dumps({"resources": [told, cluster()]}))
-    assert [type(found) for found in good] == [Cluster]  # the good one is read
+def test_a_bad_resource_is_rejected_with_its_field(resource: Any, words: list[str]) -> None:
+    good, bad = resources.check_json(json.dumps({"resources": [resource, cluster()]}))
+    assert [type(found) for found in good] == [Cluster]  # the valid resource is parsed
     assert len(bad) == 1 and bad[0].startswith("resources[0].") and "\n" not in bad[0]
     assert all(word in bad[0] for word in words), bad
 
@@ -148,7 +150,7 @@
 OLD, NEW = Cluster("c", "old"), Cluster("c", "new")
 
 
-def test_a_cluster_is_active_once_its_endpoints_are_there() -> None:
+def test_a_cluster_is_active_once_its_endpoints_are_known() -> None:
     """'Eventual consistency considerations': make before break."""
     view = ClusterView()
     assert (
@@ -161,8 +163,8 @@
     assert view.update_assignment(Assignment("old")) == [ClusterChange("c", ready)]
     assert view.update_cluster(NEW) == [] and view.ready == {"c": ready}
     assert view.needed_services() == {"old", "new"} and view.pending_clusters() == {"c"}
-    fuller = Assignment("old", overprovisioning=200)  # an active version may still change
-    assert view.update_assignment(fuller) == [ClusterChange("c", ReadyCluster(OLD, fuller))]
+    changed = Assignment("old", overprovisioning=200)  # endpoints of the active version may still change
+    assert view.update_assignment(changed) == [ClusterChange("c", ReadyCluster(OLD, changed))]
     assert view.update_assignment(Assignment("new")) == [
         ClusterChange("c", ReadyCluster(NEW, Assignment("new")))
     ]
