--- a/cairnvane/cli/__init__.py
+++ b/cairnvane/cli/__init__.py
@@ -1,6 +1,6 @@
 """The command line `cairnvane`.
 
-Exit status 0: no fault; 1: a fault was found; 2: wrong use or configuration.
+Exit status 0: success; 1: the command found a fault; 2: invalid usage or configuration.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="cairnvane")
 def main() -> None:
-    """A bid server, and what belongs to it."""
+    """Run and inspect a bid server."""
 
 
 main.add_command(serve.serve)
--- a/cairnvane/cli/keyed.py
+++ b/cairnvane/cli/keyed.py
@@ -20,11 +20,11 @@
 
 @click.group()
 def keyed() -> None:
-    """Kept results of keyed requests."""
+    """Inspect and compact the stored results of keyed requests."""
 
 
 def _fail(error: Exception) -> NoReturn:
-    """End the command: the folder can't be read."""
+    """Exit with status 2 because the folder can't be read."""
     click.echo(f"cairnvane keyed: {error}", err=True)
     sys.exit(2)
 
@@ -32,8 +32,8 @@
 @keyed.command()
 @FOLDER
 def verify(folder: Path) -> None:
-    """Read everything in FOLDER, a log's or a ledger's, and say what is damaged; nothing is changed. Status 1
-    if a record may be lost.
+    """Read all records in FOLDER, of a log or a ledger, and report damage; nothing is changed. Status 1 if a
+    record may be lost.
     """
     try:
         claim_reports = [inspection.inspect(path) for path in inspection.claim_log_folders(folder)]
@@ -51,10 +51,10 @@
 
 @keyed.command()
 @FOLDER
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a line.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per line.")
 def show(folder: Path, as_json: bool) -> None:
-    """List the keys in FOLDER, a log's or a ledger's, oldest first, and how each stands; results are not
-    shown. What the log does not know stands behind, from the ledger.
+    """List the keys in FOLDER, of a log or a ledger, oldest first, with their states but without results.
+    Keys that are only in the ledger follow those of the log.
     """
     try:
         rows = list(verification.show(OsFiles(folder)))
@@ -71,7 +71,7 @@
 @keyed.command()
 @FOLDER
 def compact(folder: Path) -> None:
-    """Rewrite FOLDER without what no longer counts. Not while a server uses it."""
+    """Rewrite FOLDER without obsolete records. Fails while a server uses it."""
     try:
         bytes_before, bytes_after = verification.compact(OsFiles(folder))
     except (FolderError, OSError) as error:
--- a/cairnvane/cli/lab.py
+++ b/cairnvane/cli/lab.py
@@ -14,24 +14,24 @@
 
 import click
 
-# Of the temporary folder of an experiment.
+# The name prefix of an experiment's temporary folder.
 FOLDER_PREFIX = "cairnvane-lab-"
 
 _report_file = click.option(
     "--json",
     "json_file",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="For the report.",
+    help="Write the report to this file.",
 )
 
 
 @click.group()
 def lab() -> None:
-    """Experiments on the real program, with stand-ins for all that it talks to."""
+    """Run experiments on the real server, with stand-ins for its peers."""
 
 
 class _Report(Protocol):
-    """What an experiment found."""
+    """The report of an experiment."""
 
     @property
     def good(self) -> bool:
@@ -49,7 +49,7 @@
 
 
 def _check_choices(option: str, chosen: Iterable[str], choices: Sequence[str]) -> None:
-    """Raise `click.BadParameter`, which names the option, at the first value that is no choice."""
+    """Raise `click.BadParameter` for the first value that is not a valid choice of the option."""
     for value in chosen:
         if value not in choices:
             raise click.BadParameter(f"{value!r} is none of {', '.join(choices)}", param_hint=option)
@@ -65,15 +65,23 @@
 
 
 @lab.command()
-@click.option("--commits", type=click.IntRange(1), default=2_000, show_default=True, help="Keyed requests.")
-@click.option("--kills", type=click.IntRange(0), default=40, show_default=True, help="Of the server.")
-@click.option("--seed", type=int, default=7, show_default=True, help="For all that is left to chance.")
+@click.option(
+    "--commits", type=click.IntRange(1), default=2_000, show_default=True, help="Number of keyed requests."
+)
+@click.option(
+    "--kills", type=click.IntRange(0), default=40, show_default=True, help="Number of kills of the server."
+)
+@click.option("--seed", type=int, default=7, show_default=True, help="Seed of the random choices.")
 @click.option("--durability", type=click.Choice(["process", "power"]), default="process", show_default=True)
-@click.option("--rate", type=click.FloatRange(1), default=250.0, show_default=True, help="Commits a second.")
-@click.option("--disk-mb", type=click.IntRange(2), default=8, show_default=True, help="The keeper's bound.")
+@click.option(
+    "--rate", type=click.FloatRange(1), default=250.0, show_default=True, help="Commits per second."
+)
+@click.option(
+    "--disk-mb", type=click.IntRange(2), default=8, show_default=True, help="Disk limit of the result store."
+)
 @_report_file
 @click.option(
-    "--mutant", default="", hidden=True, help="Disable a part of the store; see the instrumented server."
+    "--mutant", default="", hidden=True, help="Disable one part of the store; see the instrumented server."
 )
 def restarts(
     commits: int,
@@ -85,7 +93,7 @@
     json_file: Path | None,
     mutant: str,
 ) -> None:
-    """Kill the server under load and replay every commit: none may run twice, or be answered otherwise.
+    """Kill the server under load and retry every commit: none may run twice or get a different answer.
 
     Status 1 if one does.
     """
@@ -108,25 +116,37 @@
 
 
 @lab.command()
-@click.option("--rounds", type=click.IntRange(1), default=20, show_default=True, help="Of upgrades.")
-@click.option("--commits", type=click.IntRange(1), default=10_000, show_default=True, help="At the least.")
-@click.option("--kill", is_flag=True, help="Kill, stop and take back versions as well.")
-@click.option("--forge", is_flag=True, help="Some tries bring another body under a known token.")
+@click.option("--rounds", type=click.IntRange(1), default=20, show_default=True, help="Number of upgrades.")
 @click.option(
-    "--silent", type=click.IntRange(0), default=0, show_default=True, help="Hostile callers of the door."
+    "--commits",
+    type=click.IntRange(1),
+    default=10_000,
+    show_default=True,
+    help="Minimum number of keyed requests.",
 )
-@click.option("--seed", type=int, default=7, show_default=True, help="For all that is left to chance.")
+@click.option("--kill", is_flag=True, help="Also kill, stop and roll back versions.")
+@click.option("--forge", is_flag=True, help="Send some attempts with a different body under a known token.")
+@click.option(
+    "--silent",
+    type=click.IntRange(0),
+    default=0,
+    show_default=True,
+    help="Number of hostile clients of the administration endpoint.",
+)
+@click.option("--seed", type=int, default=7, show_default=True, help="Seed of the random choices.")
 @click.option(
     "--durability",
     type=click.Choice(["memory", "process", "power"]),
     default="memory",
     show_default=True,
-    help="How results are kept; memory: for the lives side by side only.",
+    help="How results are stored; memory: only for concurrent incarnations.",
+)
+@click.option(
+    "--rate", type=click.FloatRange(1), default=150.0, show_default=True, help="Commits per second."
 )
-@click.option("--rate", type=click.FloatRange(1), default=150.0, show_default=True, help="Commits a second.")
 @_report_file
 @click.option(
-    "--mutant", default="", hidden=True, help="Disable a part of the store; see the instrumented server."
+    "--mutant", default="", hidden=True, help="Disable one part of the store; see the instrumented server."
 )
 def upgrade(
     rounds: int,
@@ -140,10 +160,10 @@
     json_file: Path | None,
     mutant: str,
 ) -> None:
-    """Upgrade the server under load, again and again: no commit may run twice, no forged one be served, and
-    staff are answered at the door.
+    """Upgrade the server repeatedly under load: no commit may run twice, no forged commit may be served, and
+    the administration endpoint must answer.
 
-    Status 1 if anything falls short.
+    Status 1 if a check fails.
     """
     from ..testbed.experiments.upgrades import Upgrades
 
@@ -166,13 +186,19 @@
 
 
 @lab.command()
-@click.option("--trouble", "kinds", multiple=True, help="Of these kinds only; may be given more than once.")
-@click.option("--rate", "rates", type=click.FloatRange(0.1, 200), multiple=True, help="First tries a second.")
+@click.option("--trouble", "kinds", multiple=True, help="Run only this kind; may be given more than once.")
+@click.option(
+    "--rate",
+    "rates",
+    type=click.FloatRange(0.1, 200),
+    multiple=True,
+    help="First attempts per second; may be given more than once.",
+)
 @_report_file
 def recovery(kinds: tuple[str, ...], rates: tuple[float, ...], json_file: Path | None) -> None:
-    """Play one server's decisions through troubles of pool and vault on a virtual clock: when is it back?
+    """Simulate one server's recovery from faults of the worker pool and the vault on a virtual clock.
 
-    Status 1 if it does not come back from one.
+    Status 1 if it does not recover from a fault.
     """
     from ..testbed.experiments import recovery as experiment
 
@@ -191,16 +217,32 @@
 
 
 @lab.command()
-@click.option("--seeds", callback=_parse_seeds, default="1-10", show_default=True, help="One, or a range.")
-@click.option("--seed", type=click.IntRange(0), help="Play this one alone.")
 @click.option(
-    "--seconds", type=click.FloatRange(8, 3_600), default=15.0, show_default=True, help="Of load, for each."
+    "--seeds", callback=_parse_seeds, default="1-10", show_default=True, help="One seed, or a range."
+)
+@click.option("--seed", type=click.IntRange(0), help="Run only this seed.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(8, 3_600),
+    default=15.0,
+    show_default=True,
+    help="Duration of the load for each seed.",
+)
+@click.option(
+    "--nodes", type=click.IntRange(1, 24), default=4, show_default=True, help="Maximum number of servers."
+)
+@click.option(
+    "--parallel",
+    type=click.IntRange(1, 16),
+    default=1,
+    show_default=True,
+    help="Number of seeds run at a time.",
+)
+@click.option(
+    "--keep", type=click.Path(file_okay=False, path_type=Path), help="Folder for the logs of failed seeds."
 )
-@click.option("--nodes", type=click.IntRange(1, 24), default=4, show_default=True, help="Most servers.")
-@click.option("--parallel", type=click.IntRange(1, 16), default=1, show_default=True, help="Seeds at a time.")
-@click.option("--keep", type=click.Path(file_okay=False, path_type=Path), help="For logs of what is wrong.")
 @_report_file
-@click.option("--mutant", default="", hidden=True, help="Disable a guard; see the instrumented server.")
+@click.option("--mutant", default="", hidden=True, help="Disable one safeguard; see the instrumented server.")
 def soak(
     seeds: range,
     seed: int | None,
@@ -211,7 +253,7 @@
     json_file: Path | None,
     mutant: str,
 ) -> None:
-    """Play scenarios with faults that cross each other, drawn from seeds, and check all rules.
+    """Run random scenarios with overlapping faults, one per seed, and check all rules.
 
     Status 1 if a rule is broken with any seed.
     """
@@ -231,16 +273,25 @@
 
 @lab.command()
 @click.argument("scenario", required=False, type=click.Path(path_type=Path))
-@click.option("--seed", type=int, default=1, show_default=True, help="For all that is left to chance.")
-@click.option("--events", type=click.Path(dir_okay=False, path_type=Path), help="For the rig's record.")
-@click.option("--json", "json_file", type=click.Path(dir_okay=False, path_type=Path), help="For the verdict.")
-@click.option("--check", is_flag=True, help="Only read the scenario, and show its schedule.")
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of the random choices.")
+@click.option(
+    "--events",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the recorded events to this file.",
+)
+@click.option(
+    "--json",
+    "json_file",
+    type=click.Path(dir_okay=False, path_type=Path),
+    help="Write the verdict to this file.",
+)
+@click.option("--check", is_flag=True, help="Only read the scenario and print its schedule.")
 def fleet(scenario: Path | None, seed: int, events: Path | None, json_file: Path | None, check: bool) -> None:
-    """Start several servers under load with faults between them, and judge what their peers recorded.
+    """Run several servers under load with injected faults, and check the events that their peers recorded.
 
-    Without a SCENARIO (YAML, docs/testbed.md) a short one is played: three servers, one is killed and comes
-    back. Status 1 if a rule is broken or a statement of the scenario does not hold, 2 if the file is at
-    fault.
+    Without a SCENARIO (YAML, docs/testbed.md), a short default is run: three servers, of which one is killed
+    and restarted. Status 1 if a rule is broken or an expectation of the scenario is not met, 2 if the file is
+    invalid.
     """
     from ..config import ConfigurationError
     from ..testbed.cluster import scenario_file as scenarios
@@ -263,13 +314,15 @@
 
 
 @lab.command()
-@click.option("--datagrams", type=click.IntRange(1), default=1_000_000, show_default=True, help="How many.")
-@click.option("--seed", type=int, default=7, show_default=True, help="For all that is left to chance.")
+@click.option(
+    "--datagrams", type=click.IntRange(1), default=1_000_000, show_default=True, help="Number of datagrams."
+)
+@click.option("--seed", type=int, default=7, show_default=True, help="Seed of the random choices.")
 @_report_file
 def fuzz(datagrams: int, seed: int, json_file: Path | None) -> None:
-    """Let a members' channel take datagrams of strangers, torn, changed, replayed and insane ones.
+    """Send truncated, altered, replayed, implausible and foreign datagrams to a membership channel.
 
-    Status 1 if one raises, changes what is known, or memory grows.
+    Status 1 if one raises an error or changes the members' state, or if memory grows.
     """
     from ..testbed.experiments.fuzz import fuzz as run
 
@@ -277,14 +330,24 @@
 
 
 @lab.command()
-@click.option("--members", type=click.IntRange(2, 5), default=3, show_default=True, help="How many.")
-@click.option("--depth", type=click.IntRange(1, 12), default=4, show_default=True, help="Steps of a path.")
-@click.option("--from", "beginnings", multiple=True, help="Of these beginnings only.")
+@click.option("--members", type=click.IntRange(2, 5), default=3, show_default=True, help="Number of members.")
 @click.option(
-    "--most", type=click.IntRange(1), default=200_000, show_default=True, help="States of one worker's share."
+    "--depth",
+    type=click.IntRange(1, 12),
+    default=4,
+    show_default=True,
+    help="Maximum number of steps in a path.",
+)
+@click.option("--from", "beginnings", multiple=True, help="Explore only from this initial state.")
+@click.option(
+    "--most",
+    type=click.IntRange(1),
+    default=200_000,
+    show_default=True,
+    help="Maximum number of states per worker.",
 )
-@click.option("--workers", type=click.IntRange(1), help="Processes; all cores without it.")
-@click.option("--mutant", default="", help="Take a rule out, which the search must then find.")
+@click.option("--workers", type=click.IntRange(1), help="Number of processes; default: one per core.")
+@click.option("--mutant", default="", help="Disable one rule; the search must then find a violation.")
 @_report_file
 def explore(
     members: int,
@@ -295,10 +358,10 @@
     mutant: str,
     json_file: Path | None,
 ) -> None:
-    """Explore a small world of members whole: every order of messages, losses, duplicates, restarts and
-    departures up to a depth.
+    """Model-check a small cluster: every order of messages, losses, duplicates, restarts and departures up to
+    a depth.
 
-    Status 1 if something that must hold does not, or if a mutant is not found.
+    Status 1 if an invariant is violated, or if the violation of a mutant is not found.
     """
     from ..testbed.simulation import model_checker
 
@@ -319,7 +382,7 @@
 
 
 @lab.command()
-@click.option("--trouble", "kinds", multiple=True, help="Of these kinds only; may be given more than once.")
+@click.option("--trouble", "kinds", multiple=True, help="Run only this kind; may be given more than once.")
 @click.option(
     "--servers",
     "sizes",
@@ -327,13 +390,13 @@
     multiple=True,
     default=(6, 12),
     show_default=True,
-    help="How many; may be given more than once.",
+    help="Number of servers; may be given more than once.",
 )
 @click.option("--seeds", type=click.IntRange(1), default=3, show_default=True)
 @_report_file
 def overload(kinds: tuple[str, ...], sizes: tuple[int, ...], seeds: int, json_file: Path | None) -> None:
-    """Bring trouble over a fleet whose balancers walk on: what is served, how often it is tried, what meets a
-    sick vault, and when it is back.
+    """Overload a cluster whose balancers retry at other servers: measures the served requests, the attempts,
+    the calls to a failing vault, and the recovery time.
 
     Status 1 if a rule is broken.
     """
@@ -359,15 +422,15 @@
     multiple=True,
     default=(6, 12),
     show_default=True,
-    help="How many; may be given more than once.",
+    help="Number of servers; may be given more than once.",
 )
 @click.option("--seeds", type=click.IntRange(1), default=10, show_default=True)
 @_report_file
 def shares(sizes: tuple[int, ...], seeds: int, json_file: Path | None) -> None:
-    """The vault as one limit in virtual time: what servers lend each other, beside fixed parts and parts by
-    how many each sees.
+    """Simulate a cluster-wide vault limit in virtual time: quota leases, compared with fixed quotas and
+    quotas by the number of visible members.
 
-    Status 1 if what is lent ever adds up to more than the limit.
+    Status 1 if the quotas with leases ever exceed the limit.
     """
     from ..testbed.experiments.shares import measure
 
@@ -382,7 +445,7 @@
     multiple=True,
     default=(12, 200),
     show_default=True,
-    help="How many; may be given more than once.",
+    help="Number of members; may be given more than once.",
 )
 @click.option(
     "--loss",
@@ -391,7 +454,7 @@
     multiple=True,
     default=(0.0, 0.05, 0.3),
     show_default=True,
-    help="The share of datagrams that are lost.",
+    help="The share of lost datagrams; may be given more than once.",
 )
 @click.option("--seeds", type=click.IntRange(1), default=10, show_default=True)
 @click.option(
@@ -399,7 +462,7 @@
     "special_cases",
     type=click.Choice(["join", "third", "flap"]),
     multiple=True,
-    help="Instead: all join at once, a third is lost at once, one in twenty keeps restarting.",
+    help="Run instead: all join at once, a third fails at once, one in twenty keeps restarting.",
 )
 @_report_file
 def members(
@@ -409,10 +472,10 @@
     special_cases: tuple[str, ...],
     json_file: Path | None,
 ) -> None:
-    """Members in virtual time, beside a plain heartbeat to all and probes without suspicion: how soon all
-    know of a kill, how often the living are called dead, and what it costs.
+    """Simulate membership in virtual time, compared with heartbeats to all members and probes without
+    suspicion: measures detection time, false positives and message cost.
 
-    Status 1 if the real one misses a kill or calls a living member dead.
+    Status 1 if the real protocol misses a kill or declares a live member failed.
     """
     from ..testbed.simulation.membership import cases, measure
 
--- a/cairnvane/cli/members.py
+++ b/cairnvane/cli/members.py
@@ -1,4 +1,4 @@
-"""`cairnvane members`: shows the members of a fleet as one server sees them."""
+"""`cairnvane members`: shows the members of a cluster as seen by one server."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 import click
 
 TIMEOUT_S = 2.0
-INCARNATION_DIGITS = 6  # the last ones, which differ between incarnations
+INCARNATION_DIGITS = 6  # the last digits, which differ between incarnations
 MILLISECONDS_PER_SECOND = 1e3
-TOGETHER = "together"  # the verdict of a server that is not partitioned from the others
+TOGETHER = "together"  # the verdict of a server that is not partitioned from the other members
 
 
 def _last_heard(member: dict[str, Any]) -> str:
@@ -42,20 +42,20 @@
 
 
 def lines(snapshot: dict[str, Any]) -> list[str]:
-    """The server's JSON description of the members as lines for a terminal."""
+    """Format the server's JSON description of the members for a terminal."""
     head = f"  {'member':12} {'life':6} {'status':8} {'phase':9} {'incarnation':>11} {'heard':>12}  serves at"
     return [_own_line(snapshot), head, *map(_member_line, snapshot["members"])]
 
 
 def _fetch(administration: str) -> dict[str, Any]:
-    """The members as the server at this address describes them; raises `click.ClickException`."""
+    """Fetch the members from the server at this address; raises `click.ClickException` on failure."""
     try:
         with urllib.request.urlopen(f"http://{administration}/-/members", timeout=TIMEOUT_S) as response:
             snapshot: dict[str, Any] = json.load(response)
     except urllib.error.HTTPError as error:
         reason = str(error)
         if error.code == HTTPStatus.NOT_FOUND:
-            reason = "it has no members: turn them on in its operator's file"
+            reason = "membership is not enabled; add `members` to the server's operator file"
         raise click.ClickException(f"{administration}: {reason}") from None
     except (OSError, ValueError) as error:
         raise click.ClickException(f"{administration}: {error}") from None
@@ -63,12 +63,12 @@
 
 
 @click.command()
-@click.option("--door", required=True, metavar="HOST:PORT", help="The operators' door of a server.")
-@click.option("--json", "as_json", is_flag=True, help="As the server tells it.")
+@click.option("--door", required=True, metavar="HOST:PORT", help="The administration endpoint of a server.")
+@click.option("--json", "as_json", is_flag=True, help="Print the server's JSON description.")
 def members(door: str, as_json: bool) -> None:
-    """Show which servers one server knows, who failed, and whether it is cut off.
+    """Show the members that a server knows, their states, and whether the server is partitioned from them.
 
-    Status 1 if it thinks that it is cut off, or can't be asked.
+    Status 1 if its verdict is not `together`, or it cannot be reached.
     """
     snapshot = _fetch(door)
     click.echo(json.dumps(snapshot, indent=1) if as_json else "\n".join(lines(snapshot)))
--- a/cairnvane/cli/serve.py
+++ b/cairnvane/cli/serve.py
@@ -16,10 +16,10 @@
     metavar="FILE",
     envvar=config.OPERATOR_VARIABLE,
     show_envvar=True,
-    help="The operator's own YAML file; without it, nothing that it could turn on is on.",
+    help="The operator's YAML file; without it, all optional features are off.",
 )
 def serve(operator: str | None) -> None:
-    """Serve as `python -m cairnvane` does: LB_CONFIG names the platform's configuration."""
+    """Run the server, like `python -m cairnvane`; LB_CONFIG names the platform's configuration file."""
     from ..server.main import main
 
     if operator:
--- a/cairnvane/cli/xds.py
+++ b/cairnvane/cli/xds.py
@@ -1,4 +1,4 @@
-"""`cairnvane xds`: checks descriptions of fleets in the form of Envoy's discovery service."""
+"""`cairnvane xds`: checks cluster descriptions in the format of Envoy's discovery service."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @click.group()
 def xds() -> None:
-    """Clusters and endpoints in xDS form."""
+    """Check clusters and endpoints in xDS format."""
 
 
 def _fail(reason: str) -> NoReturn:
-    """End the command: the file can't be checked."""
+    """Exit with status 2 because the file can't be checked."""
     click.echo(f"cairnvane xds: {reason}", err=True)
     sys.exit(2)
 
@@ -24,7 +24,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 def check(file: Path) -> None:
     """Check FILE, a DiscoveryResponse in JSON with clusters and endpoints. Status 1 if a resource is
-    refused.
+    rejected.
     """
     try:
         from ..xds.resources import check_json
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file: faults, exit statuses, and the tools for stored results."""
+"""The command line and the operator file: errors, exit statuses, and the tools for stored results."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
     return path
 
 
-def run(*words: str | Path) -> Any:
-    return CliRunner().invoke(main, [str(word) for word in words])
+def run(*arguments: str | Path) -> Any:
+    return CliRunner().invoke(main, [str(argument) for argument in arguments])
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
         ("\x00", ["operator.yaml"]),
     ],
 )
-def test_fault_in_the_operator_file_is_named_in_one_line(
+def test_error_in_the_operator_file_is_reported_in_one_line(
     tmp_path: Path,
     text: str,
     words: list[str],
@@ -78,7 +78,7 @@
     assert "\n" not in str(error.value)
 
 
-def test_examples_are_valid_and_an_empty_file_turns_nothing_on(tmp_path: Path) -> None:
+def test_examples_are_valid_and_an_empty_file_enables_nothing(tmp_path: Path) -> None:
     options = operator.load(EXAMPLE)
     assert options.keyed is not None and options.keyed.folder == str(EXAMPLE.parent / "keyed")
     assert (options.keyed.disk_bytes, options.keyed.memory_bytes) == (64 << 20, 8 << 20)
@@ -118,18 +118,18 @@
         (["nothing"], 2),
     ],
 )
-def test_wrong_use_exits_with_status_2(words: list[str], status: int) -> None:
+def test_exit_status_of_valid_and_invalid_usage(words: list[str], status: int) -> None:
     assert run(*words).exit_code == status
 
 
 def test_result_survives_a_kill_of_the_program(tmp_path: Path) -> None:
-    """And the commands show what is in the folder, which its owner alone can read."""
+    """The commands show the contents of the folder, which only its owner can read."""
     path = write_operator_file(tmp_path, "log: {form: json}\n" + KEYED)
     pool = PoolPeer()
-    at = f"{pool.address[0]}:{pool.address[1]}"
+    pool_address = f"{pool.address[0]}:{pool.address[1]}"
     write = {"path": "/svc/write", "HTTP_REQ_TOKEN": TOKEN}
     folder = tmp_path / "keyed"
-    with program(tmp_path, at, NOWHERE, operator=path) as (process, port):
+    with program(tmp_path, pool_address, NOWHERE, operator=path) as (process, port):
         balancer = Balancer(("127.0.0.1", port))
         balancer.send(1, **write)  # type: ignore[arg-type]
         pool.next("bind")
@@ -145,7 +145,7 @@
     [row] = [json.loads(line) for line in run("keyed", "show", "--json", folder).output.splitlines()]
     assert (row["token"], row["state"], row["class"]) == (TOKEN, "finished", "write")
     assert run("keyed", "compact", folder).exit_code == 0
-    with program(tmp_path, at, NOWHERE, operator=path) as (process, port):
+    with program(tmp_path, pool_address, NOWHERE, operator=path) as (process, port):
         balancer = Balancer(("127.0.0.1", port))
         balancer.send(2, **write)  # type: ignore[arg-type]
         assert balancer.answer()[1].body == b"original"
@@ -163,7 +163,7 @@
         (lambda data: data[:8] + b"\x63\0" + data[10:], 2, "newer version"),
     ],
 )
-def test_verify_names_the_damage(tmp_path: Path, damage: Any, status: int, word: str) -> None:
+def test_verify_reports_the_damage(tmp_path: Path, damage: Any, status: int, word: str) -> None:
     _, name, data = segment()
     (tmp_path / name).write_bytes(damage(data))
     before = (tmp_path / name).read_bytes()
@@ -173,7 +173,7 @@
 
 
 @pytest.mark.parametrize("other", ["another instance", "another process"])
-def test_folder_of_another_instance_fails_the_start_with_one_line(tmp_path: Path, other: str) -> None:
+def test_start_with_the_folder_of_another_instance_fails_with_one_line(tmp_path: Path, other: str) -> None:
     path = write_operator_file(tmp_path, KEYED)
     folder = tmp_path / "keyed"
     folder.mkdir()
@@ -181,7 +181,7 @@
     if other == "another process":
         holder.lock()
     else:
-        (folder / segment_name(1)).write_bytes(segment()[2])  # of n1
+        (folder / segment_name(1)).write_bytes(segment()[2])  # of instance n1
     config = tmp_path / "config.json"
     config.write_text(json.dumps(FILE | {"name": "n3"}))
     done = subprocess.run(
@@ -197,8 +197,8 @@
     holder.unlock()
 
 
-def test_claims_are_shown_and_verified_as_incarnations_see_them(tmp_path: Path) -> None:
-    """In `$TMPDIR`, with one incarnation alive and one dead."""
+def test_claims_are_shown_and_verified_with_their_incarnations(tmp_path: Path) -> None:
+    """The claims of one live and one dead incarnation are in `$TMPDIR`."""
     folder = tmp_path / "cairnvane-ledger" / "n3.0badb007"
     incarnations = Incarnations(tmp_path / INCARNATIONS_FOLDER / "n3")
     incarnations.enter()
