--- a/cairnvane/cli/lab.py
+++ b/cairnvane/cli/lab.py
@@ -209,7 +209,7 @@
 def _parse_seeds(_context: click.Context, _parameter: click.Parameter, text: str) -> range:
     first, separator, last = text.partition("-")
     if not first.isdecimal() or (separator and not last.isdecimal()):
-        raise click.BadParameter(f"{text!r} is no number and no range like 1-50")
+        raise click.BadParameter(f"{text!r} is neither a number nor a range like 1-50")
     seeds = range(int(first), int(last if separator else first) + 1)
     if not seeds:
         raise click.BadParameter(f"{text!r} is empty")
--- a/cairnvane/load_balancing/maglev.py
+++ b/cairnvane/load_balancing/maglev.py
@@ -51,7 +51,7 @@
     def __init__(self, weights: Mapping[Key, int], size: int = TABLE_SIZE) -> None:
         """Raises `ValueError` if the size is not a prime."""
         if not _is_prime(size):
-            raise ValueError(f"table size: {size} is no prime")
+            raise ValueError(f"table size: {size} is not a prime")
         self._keys: Sequence[Key] = sorted((key for key, weight in weights.items() if weight > 0), key=repr)
         self._table = self._fill([weights[key] for key in self._keys], size) if self._keys else array("i")
 
--- a/cairnvane/xds/resources.py
+++ b/cairnvane/xds/resources.py
@@ -287,25 +287,25 @@
     try:
         document = json.loads(text)
     except ValueError as error:
-        raise ValueError(f"no JSON: {error}") from None
+        raise ValueError(f"invalid JSON: {error}") from None
     entries = document.get("resources") if isinstance(document, dict) else None
     if not isinstance(entries, list):
-        raise DescriptionError("resources", "missing, or no list")
-    good: list[Cluster | Assignment] = []
-    bad: list[str] = []
+        raise DescriptionError("resources", "missing, or not a list")
+    valid: list[Cluster | Assignment] = []
+    errors: list[str] = []
     for index, entry in enumerate(entries):
         try:
-            good.append(_from_json(entry))
+            valid.append(_from_json(entry))
         except ValueError as error:
-            bad.append(f"resources[{index}].{error}")
-    return good, bad
+            errors.append(f"resources[{index}].{error}")
+    return valid, errors
 
 
 def _from_json(entry: Any) -> Cluster | Assignment:
     if not isinstance(entry, dict):
-        raise DescriptionError("@type", "no object")
+        raise DescriptionError("@type", "not an object")
     type_url = entry.get("@type")
-    _require(type_url in _RESOURCE_TYPES, "@type", f"{type_url!r} is not understood")
+    _require(type_url in _RESOURCE_TYPES, "@type", f"{type_url!r} is not supported")
     resource_type = _RESOURCE_TYPES[str(type_url)]
     fields = {name: value for name, value in entry.items() if name != "@type"}
     try:
--- a/tests/load_balancing/test_maglev.py
+++ b/tests/load_balancing/test_maglev.py
@@ -20,8 +20,8 @@
     assert moved / TABLE_SIZE < 0.1 and all(fewer.choose(n) != "e4" for n in range(TABLE_SIZE))
 
 
-def test_an_empty_table_chooses_none_and_a_size_that_is_no_prime_is_rejected() -> None:
+def test_an_empty_table_chooses_none_and_a_size_that_is_not_prime_is_rejected() -> None:
     assert Maglev[str]({}).choose(7) is None and Maglev({"a": 0}).choose(7) is None
     assert {Maglev({"a": 1, "b": 0}, 7).choose(n) for n in range(20)} == {"a"}
-    with pytest.raises(ValueError, match="8 is no prime"):
+    with pytest.raises(ValueError, match="8 is not a prime"):
         Maglev({"a": 1}, 8)
--- a/tests/xds_client/test_xds_resources.py
+++ b/tests/xds_client/test_xds_resources.py
@@ -31,9 +31,9 @@
 
 
 def parse_one(resource: dict[str, Any]) -> Any:
-    good, bad = resources.check_json(json.dumps({"resources": [resource]}))
-    assert not bad, bad
-    return good[0]
+    valid, errors = resources.check_json(json.dumps({"resources": [resource]}))
+    assert not errors, errors
+    return valid[0]
 
 
 def test_a_cluster_is_parsed_with_its_circuit_breakers() -> None:
@@ -113,15 +113,15 @@
         ),
         (assignment({"priority": 129}), ["priority: 129"]),
         (assignment(policy={"overprovisioning_factor": 50}), ["overprovisioning_factor: 50 is below 100"]),
-        ({"@type": "type.googleapis.com/x"}, ["'type.googleapis.com/x' is not understood"]),
-        (3, ["no object"]),
+        ({"@type": "type.googleapis.com/x"}, ["'type.googleapis.com/x' is not supported"]),
+        (3, ["not an object"]),
     ],
 )
 def test_a_bad_resource_is_rejected_with_its_field(resource: Any, words: list[str]) -> None:
-    good, bad = resources.check_json(json.dumps({"resources": [resource, cluster()]}))
-    assert [type(found) for found in good] == [Cluster]  # the valid resource is parsed
-    assert len(bad) == 1 and bad[0].startswith("resources[0].") and "\n" not in bad[0]
-    assert all(word in bad[0] for word in words), bad
+    valid, errors = resources.check_json(json.dumps({"resources": [resource, cluster()]}))
+    assert [type(found) for found in valid] == [Cluster]  # the valid resource is parsed
+    assert len(errors) == 1 and errors[0].startswith("resources[0].") and "\n" not in errors[0]
+    assert all(word in errors[0] for word in words), errors
 
 
 @pytest.mark.parametrize("body", [b"\xff", b"\x0a\xff", b"not a message"])
@@ -135,7 +135,7 @@
     ("text", "status", "word"),
     [
         (json.dumps({"resources": [cluster()]}), 0, "good: cluster ledger"),
-        ("{", 2, "no JSON"),
+        ("{", 2, "invalid JSON"),
         ("[]", 2, "resources: missing"),
         (json.dumps({"resources": [cluster(type="LOGICAL_DNS")]}), 1, "refused"),
     ],
