--- a/cairnvane/testbed/checkers/__init__.py
+++ b/cairnvane/testbed/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers that compare what clients received with what the stand-ins recorded; they never ask the server."""
+"""Checkers that compare responses to clients with the stand-ins' records; they never query the server."""
--- a/cairnvane/testbed/checkers/duplicate_run_checker.py
+++ b/cairnvane/testbed/checkers/duplicate_run_checker.py
@@ -1,7 +1,6 @@
-"""Checks keyed requests for duplicate runs: what clients received, against pool and dependency.
+"""Checks keyed requests for duplicate runs by comparing responses with the records of pool and dependency.
 
-It never asks the server. A commit, as a keyed request is called here, is identified by its body, which no
-other commit has.
+The server is never queried. A keyed request is called a commit here and is identified by its unique body.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from ..stand_ins.balancer import DISCONNECTED, Reply
 from ..stand_ins.worker_pool import RunRecord
 
-# At the end, commits without an answer are retried so often, at this interval.
+# Number and interval of the final retries of commits without an answer.
 MAX_FINAL_RETRIES = 20
 FINAL_RETRY_INTERVAL_S = 0.3
 ANSWER_POLL_S = 0.01
@@ -29,27 +28,27 @@
 
     body: bytes
     idempotency_key: str
-    first_sent_at: float = 0.0  # on the monotonic clock; 0: not sent
-    served_bodies: list[bytes] = field(default_factory=list)  # of each response that served it
+    first_sent_at: float = 0.0  # monotonic time; 0: not sent yet
+    served_bodies: list[bytes] = field(default_factory=list)  # bodies of its successful responses
     failed: int = 0
     failed_after_served: int = 0
     rejected: int = 0
-    broken: int = 0  # attempts whose connection ended with the server
-    in_flight: int = 0  # attempts that have not been answered
+    broken: int = 0  # attempts whose connection ended without an answer
+    in_flight: int = 0  # attempts without an answer so far
 
 
 @dataclass
 class Verdict:
-    """Counts over all commits; the names are the keys of the JSON report."""
+    """Counts over all commits; field names are keys of the JSON report."""
 
     commits: int
     tries: int
     runs: int
     second_runs: int
     second_calls: int
-    differing: int  # commits with responses that differ
-    invented: int  # commits with a response that no run made
-    unanswered: int  # attempts
+    differing: int  # commits whose responses differ
+    invented: int  # commits with a response that no run produced
+    unanswered: int  # attempts without an answer
     lost: int  # commits without any answer
     refusals: int
     failed: int
@@ -57,13 +56,13 @@
 
     @property
     def good(self) -> bool:
-        """Whether every guarantee held."""
-        wrong = self.second_runs + self.second_calls + self.differing + self.invented
-        return wrong + self.unanswered + self.lost == 0
+        """Whether all guarantees held."""
+        violations = self.second_runs + self.second_calls + self.differing + self.invented
+        return violations + self.unanswered + self.lost == 0
 
 
 class DuplicateRunChecker:
-    """Records what clients received. Its methods may be called from any thread."""
+    """Records the responses to clients. Its methods may be called from any thread."""
 
     def __init__(self) -> None:
         self.commits: list[Commit] = []
@@ -71,19 +70,19 @@
         self._lock = threading.Lock()  # guards the commits and all their fields
 
     def add(self, commit: Commit) -> None:
-        """Add a commit."""
+        """Register a commit before its first attempt."""
         with self._lock:
             self.commits.append(commit)
 
     def record_attempt(self, commit: Commit, now: float) -> None:
-        """Record that an attempt is sent."""
+        """Record that an attempt is being sent."""
         with self._lock:
             self.attempts += 1
             commit.in_flight += 1
             commit.first_sent_at = commit.first_sent_at or now
 
     def record_reply(self, commit: Commit, reply: Reply) -> None:
-        """Record how an attempt ended."""
+        """Record the outcome of an attempt."""
         with self._lock:
             commit.in_flight -= 1
             if reply.status == DISCONNECTED:
@@ -97,9 +96,9 @@
                 commit.failed_after_served += bool(commit.served_bodies)
 
     def settle(self, retry: Callable[[Commit], None], wait_s: float) -> None:
-        """Wait at the end until all attempts are answered, `wait_s` at the most for each round.
+        """Wait until all attempts are answered, up to `wait_s` in each round of retries.
 
-        Commits that were neither served nor failed are retried: they were rejected, or nobody has read them.
+        Commits that were neither served nor failed are retried: they were rejected, or no server read them.
         """
         for _ in range(MAX_FINAL_RETRIES):
             self._await_answers(wait_s)
@@ -119,7 +118,7 @@
             time.sleep(ANSWER_POLL_S)
 
     def verdict(self, pool: Mapping[bytes, RunRecord], calls: Counter[bytes]) -> Verdict:
-        """Compare with the pool's records by body, and with the dependency's count of calls by body."""
+        """Compare the responses with the pool's runs and the dependency's calls, both by request body."""
         commits = self.commits
         records = {commit.body: pool.get(commit.body, RunRecord()) for commit in commits}
         return Verdict(
@@ -143,5 +142,5 @@
 
 
 def _is_invented(commit: Commit, record: RunRecord) -> bool:
-    """Whether a response carries a result that no run made."""
+    """Whether a response carries a result that no run produced."""
     return any(body not in record.results for body in commit.served_bodies)
--- a/cairnvane/testbed/experiments/__init__.py
+++ b/cairnvane/testbed/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments behind the verbs of `cairnvane lab`: each applies load and faults, checks, and reports."""
+"""Experiments behind the subcommands of `cairnvane lab`: each applies load and faults, and reports."""
--- a/cairnvane/testbed/experiments/fuzz.py
+++ b/cairnvane/testbed/experiments/fuzz.py
@@ -1,7 +1,7 @@
 """`cairnvane lab fuzz`: invalid and replayed datagrams at a real member transport.
 
-Each may increase a count, and must change nothing else. They are generated from one seed, and handed in
-directly: a socket's bound on datagrams a second would keep most of them out.
+A datagram may increase a counter and must change nothing else. All datagrams are generated from one seed.
+They are passed to the transport directly, since its limit on datagrams per second would drop most of them.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 KEY = b"of the laboratory only"
 OTHER_KEY = b"of somebody else's fleet"
 MEMBERS = 12
-# Pings that the transport accepts from each member beforehand.
+# Valid pings that the transport receives from each member before the invalid datagrams.
 ACCEPTED_PINGS = 39
 PROGRESS_DATAGRAMS = 100_000
 MAX_ERRORS_SHOWN = 5
-# Resident memory may grow by so much over all datagrams: pages that the allocator keeps.
+# Allowed growth of resident memory over the run: pages that the allocator does not return to the system.
 MAX_GROWTH_KB = 4_096
 
 
@@ -41,14 +41,14 @@
 
 
 class Generator:
-    """Generates datagrams of every kind."""
+    """Generates invalid and replayed datagrams of every kind."""
 
     def __init__(self, rng: random.Random, claims: list[Claim], accepted: list[bytes]) -> None:
-        """`accepted`: datagrams that the transport has accepted already."""
+        """`accepted`: datagrams that the transport has accepted before."""
         self._rng = rng
         self._claims = claims
         self._accepted = accepted
-        self._numbers = itertools.count(1_000)  # none of which was used before
+        self._numbers = itertools.count(1_000)  # higher than any number in `accepted`
         self.kinds: dict[str, Callable[[], bytes]] = {
             "noise": lambda: rng.randbytes(rng.randrange(0, 200)),
             "oversized": lambda: rng.randbytes(MOST_BYTES + rng.randrange(1, 100)),
@@ -75,7 +75,7 @@
         return seal(OTHER_KEY, claim.life, self._rng.getrandbits(40), Ping(1, claim.life, [claim]))
 
     def _sealed(self, body: bytes) -> bytes:
-        """Any body under the right key, which no member would send."""
+        """A body that no member would send, sealed with the right key."""
         life = self._rng.choice(self._claims).life
         return seal(KEY, life, next(self._numbers), msgspec.Raw(body))  # type: ignore[arg-type]
 
@@ -84,7 +84,7 @@
 
     def _sealed_types(self) -> bytes:
         rng = self._rng
-        parts: list[Any] = [
+        values: list[Any] = [
             rng.randrange(-1, 9),
             "x",
             None,
@@ -96,10 +96,10 @@
             0.5,
             b"\0",
         ]
-        return self._sealed(msgspec.msgpack.encode(rng.choices(parts, k=rng.randrange(0, 6))))
+        return self._sealed(msgspec.msgpack.encode(rng.choices(values, k=rng.randrange(0, 6))))
 
     def _implausible(self) -> bytes:
-        """Claims about members that can't be true, and information that is too large."""
+        """A message with a claim whose field is out of range, and with information that is too large."""
         rng = self._rng
         member = rng.choice(self._claims)
         wrong: list[dict[str, Any]] = [
@@ -129,11 +129,11 @@
     errors: list[str] = field(default_factory=list)
     changed: list[str] = field(default_factory=list)
     grown_kb: int = 0
-    uncounted: int = 0  # datagrams that increased no count
+    uncounted: int = 0  # datagrams that increased no counter
 
     @property
     def good(self) -> bool:
-        """Whether there was no exception, no change, and no growth of memory."""
+        """Whether no exception, no change of state and no excessive growth of memory was seen."""
         return not (self.errors or self.changed or self.uncounted) and self.grown_kb <= MAX_GROWTH_KB
 
     def as_json(self) -> dict[str, Any]:
@@ -153,7 +153,7 @@
 
 
 def _snapshot(member: SwimMember) -> dict[int, tuple[Any, ...]]:
-    """All that a datagram could change in what the member knows."""
+    """The member's state that a datagram could change."""
     return {life: (known.claim, known.info) for life, known in member.table.lives.items()} | {
         0: (member.own, sorted(member.table.up), member.table.count(Status.SUSPECT))
     }
@@ -171,18 +171,18 @@
     ]
 
 
-def _hand_in(
+def _receive_all(
     transport: MemberTransport,
     generator: Generator,
     report: Report,
     say: Callable[[str], None],
 ) -> None:
-    """Hand in all datagrams; errors and the growth of memory go into the report."""
+    """Pass all datagrams to the transport, and record errors and the growth of memory in the report."""
     member = transport._member
     kinds = list(generator.kinds.items())
     for number in range(report.datagrams):
         if number == report.datagrams // 10:
-            memory_before_kb = _peak_memory_kb()  # pools and caches have their size by now
+            memory_before_kb = _peak_memory_kb()  # pools and caches have reached their size by now
         name, generate = kinds[number % len(kinds)]
         datagram = generate()
         try:
@@ -197,12 +197,12 @@
 
 
 def _describe_changes(
-    member: SwimMember, before: dict[int, tuple[Any, ...]], after: dict[int, tuple[Any, ...]]
+    member: SwimMember, state_before: dict[int, tuple[Any, ...]], state_after: dict[int, tuple[Any, ...]]
 ) -> list[str]:
     changes = [
-        f"life {life} changed: {before.get(life)} to {after.get(life)}"
-        for life in sorted(before.keys() | after.keys())
-        if before.get(life) != after.get(life)
+        f"life {life} changed: {state_before.get(life)} to {state_after.get(life)}"
+        for life in sorted(state_before.keys() | state_after.keys())
+        if state_before.get(life) != state_after.get(life)
     ]
     if len(member._numbers) > len(member.table.lives):
         changes.append(f"{len(member._numbers)} senders are remembered")
@@ -210,7 +210,7 @@
 
 
 def fuzz(datagrams: int, seed: int, say: Callable[[str], None] = lambda line: None) -> Report:
-    """Let a transport receive so many datagrams."""
+    """Pass `datagrams` invalid or replayed datagrams to a member transport, and report their effects."""
     rng = random.Random(seed)
     report = Report(datagrams, seed)
     claims = _member_claims(rng)
@@ -219,17 +219,17 @@
     accepted = _accepted_pings(member, claims)
     for datagram in accepted:
         transport._take(datagram, (HOST, 1), MOST_BYTES)
-    before = _snapshot(member)
+    state_before = _snapshot(member)
     counts_before = Counter(transport.counts)
     replayed_before = member.counts.replayed
     insane_before = member.counts.insane
-    _hand_in(transport, Generator(rng, claims, accepted), report, say)
+    _receive_all(transport, Generator(rng, claims, accepted), report, say)
     counts = transport.counts - counts_before
     report.uncounted = datagrams - sum(count for kind, count in counts.items() if "sent" not in kind)
     report.counts = dict(counts) | {
         "of these replayed": member.counts.replayed - replayed_before,
         "of these insane": member.counts.insane - insane_before,
     }
-    report.changed = _describe_changes(member, before, _snapshot(member))
+    report.changed = _describe_changes(member, state_before, _snapshot(member))
     transport.drop()
     return report
--- a/cairnvane/testbed/experiments/keyed_workload.py
+++ b/cairnvane/testbed/experiments/keyed_workload.py
@@ -6,10 +6,10 @@
 
 KEYED_CLASS = "bid-commit"
 NON_KEYED_CLASS = "price-view"
-# For this time after its first attempt, a keyed request may be retried and runs once.
+# Retries of a keyed request within this time of its first attempt must not run it a second time.
 RETRY_WINDOW_S = 17.364
 CLIENT_TIMEOUT_S = 5.8
-# What a testbed of Python threads on a shared machine may add to a deadline.
+# Allowance on deadlines for scheduling delays: the testbed runs Python threads on a shared machine.
 DEADLINE_SLACK_S = 1.0
 SETTINGS: dict[str, Any] = {
     "Classes": [
@@ -45,7 +45,7 @@
 
 
 def operator_file(durability: str, *, disk_mb: int = 64, memory_mb: int = 8) -> str:
-    """The text of the operator's file that keeps results in a folder beside the configuration."""
+    """Text of an operator's file that stores results in a folder next to the configuration."""
     return (
         f"keyed: {{folder: keyed, durability: {durability}, max_disk_mb: {disk_mb}, "
         f"max_memory_mb: {memory_mb}}}\n"
--- a/cairnvane/testbed/experiments/overload.py
+++ b/cairnvane/testbed/experiments/overload.py
@@ -1,10 +1,11 @@
-"""`cairnvane lab overload`: what retries of a whole cluster add up to under overload and faults.
-
-Real processes, one dependency that bears a little more load than all of them can bring, and balancers that
-retry elsewhere at once after a rejection, three in ten of which heed retry-after. For each fault and size:
-what was served, weighted by priority, before, during and after it, how many attempts a request took, what
-share of all attempts had been rejected elsewhere, how many calls met a faulty dependency, and when service
-had recovered.
+"""`cairnvane lab overload`: measures how retries amplify load in a cluster under overload and faults.
+
+The cluster consists of real server processes and one dependency that can handle slightly more load than the
+servers can generate together. Balancers retry a rejected request at another server at once; three in ten of
+them wait for the retry-after time instead. For each fault and cluster size the report shows the served
+requests, weighted by priority, before, during and after the fault, the attempts per request, the fraction of
+attempts that were retries after a rejection, the calls that reached a faulty dependency, and the time to
+recovery.
 """
 
 from __future__ import annotations
@@ -23,31 +24,32 @@
 BEFORE_S = 8.0
 DURING_S = 6.0
 AFTER_S = 14.0
-# A server bears 22 requests a second, the dependency 25 for each server; the load is 0.6 of that.
+# A server can run 22 requests per second, and the load is 0.6 of that. The dependency can handle 25 calls per
+# second for each server.
 CORES = 4
 WORK_MS = 176.0
 CALL_MS = 160.0
 SLOTS_PER_SERVER = 4
 RATE_PER_SERVER = 13.4
 MAX_ATTEMPTS = 12
-# The share of balancers that heed retry-after.
-HEED = 0.3
+# Fraction of balancers that wait for the retry-after time.
+RETRY_AFTER_FRACTION = 0.3
 BALANCERS = 10
 # The dependency breaks down at this multiple of its slots.
-FALLS_AT = 5.0
-SLOWDOWN = 8.0
-SURGE = 3.0
+BREAKDOWN_LOAD_FACTOR = 5.0
+SLOWDOWN_FACTOR = 8.0
+SURGE_FACTOR = 3.0
 FLAPS = 5
-# For this time the dependency is back in each flap.
+# Time for which the dependency is reachable between two outages.
 FLAP_GAP_S = 0.2
 
 
 def _faults(kind: str, servers: int) -> list[Fault]:
     at = BEFORE_S
     if kind == "vault":
-        return [Fault("slow", at, duration=DURING_S, times=SLOWDOWN)]
+        return [Fault("slow", at, duration=DURING_S, times=SLOWDOWN_FACTOR)]
     if kind == "surge":
-        return [Fault("surge", at, duration=DURING_S, times=SURGE)]
+        return [Fault("surge", at, duration=DURING_S, times=SURGE_FACTOR)]
     if kind == "lost":
         return _killed_between(at, at + DURING_S, max(1, servers // 3))
     if kind == "flap":
@@ -60,7 +62,7 @@
 
 
 def _killed_between(killed_at: float, started_at: float, servers: int) -> list[Fault]:
-    """The first servers are killed, and started again."""
+    """Faults that kill the first `servers` servers at one time and start them again at another."""
     return [
         fault
         for number in range(servers)
@@ -71,8 +73,9 @@
     ]
 
 
-# The dependency eight times slower; three times the load; a third of the servers killed; the dependency back
-# for moments only; all servers restarted while the dependency is down.
+# vault: the dependency is eight times slower. surge: three times the load. lost: a third of the servers are
+# killed. flap: the dependency is down, apart from short gaps. restart: all servers restart while the
+# dependency is down.
 TROUBLES = ("vault", "surge", "lost", "flap", "restart")
 
 
@@ -82,9 +85,11 @@
         f"{kind}, {servers} servers",
         servers=servers,
         seconds=BEFORE_S + DURING_S + AFTER_S,
-        load=Load(rate=RATE_PER_SERVER * servers, balancers=BALANCERS, tries=MAX_ATTEMPTS, heed=HEED),
+        load=Load(
+            rate=RATE_PER_SERVER * servers, balancers=BALANCERS, tries=MAX_ATTEMPTS, heed=RETRY_AFTER_FRACTION
+        ),
         server=Servers(CORES, WORK_MS),
-        vault=Vault(SLOTS_PER_SERVER * servers, CALL_MS, FALLS_AT),
+        vault=Vault(SLOTS_PER_SERVER * servers, CALL_MS, BREAKDOWN_LOAD_FACTOR),
         faults=_faults(kind, servers),
     )
 
@@ -103,7 +108,7 @@
 
 @dataclass
 class Row:
-    """One kind of fault at one size, over its seeds; the names are the keys of the JSON report."""
+    """Results for a kind of fault and a cluster size, by seed; field names are keys of the JSON report."""
 
     trouble: str
     servers: int
@@ -115,12 +120,12 @@
 
     def line(self) -> str:
         """The report for a terminal."""
-        backs = [verdict.back_s for verdict in self.verdicts]
-        recovered = [back_s for back_s in backs if back_s is not None]
+        recovery_times = [verdict.back_s for verdict in self.verdicts]
+        recovered = [back_s for back_s in recovery_times if back_s is not None]
         back = (
             f"{max(recovered):5.1f}"
-            if len(recovered) == len(backs)
-            else f"not {backs.count(None)}/{len(backs)}"
+            if len(recovered) == len(recovery_times)
+            else f"not {recovery_times.count(None)}/{len(recovery_times)}"
         )
         figures = " ".join(f"{self.mean(FIGURES[name]):{len(name) + 1}.2f}" for name in FIGURES)
         return (
@@ -131,14 +136,14 @@
 
 @dataclass
 class Report:
-    """The table."""
+    """Results of all scenarios."""
 
     seeds: list[int]
     rows: list[Row] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
-        """Whether no rule was broken. What was served is a figure, not a rule."""
+        """Whether no rule was broken; how many requests were served is measured, not checked."""
         return not any(verdict.wrong or verdict.trouble for row in self.rows for verdict in row.verdicts)
 
     def as_json(self) -> dict[str, Any]:
@@ -169,7 +174,7 @@
     seeds: Sequence[int],
     say: Callable[[str], None] = lambda line: None,
 ) -> Report:
-    """Run all scenarios one after the other, so that each has all cores."""
+    """Run all scenarios one after the other, so that each can use all cores."""
     report = Report(list(seeds))
     for servers in sizes:
         for kind in troubles:
--- a/cairnvane/testbed/experiments/recovery.py
+++ b/cairnvane/testbed/experiments/recovery.py
@@ -1,8 +1,8 @@
-"""`cairnvane lab recovery`: whether and when a server serves again after a fault, on a virtual clock.
+"""`cairnvane lab recovery`: whether and when a server recovers from a fault, on a virtual clock.
 
-The admission controller is the real one; its surroundings are a model: a worker pool whose cores are shared
-by all runs, a dependency, and clients that retry at once after a rejection. A fault lasts for a while, and
-everything works from then on. The controller must never stay closed: see `ServerSimulation.recovery_s`.
+The admission controller is the real one. The worker pool, whose cores all runs share, the dependency, and the
+clients, which retry at once after a rejection, are simulated. Each run has one fault of limited duration.
+After it the controller must not keep rejecting requests: see `ServerSimulation.recovery_s`.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 SECOND = 1_000_000
 CORES = 4
-# A request's work on a core at full speed before its call, and again after it: 22 requests a second.
+# CPU time of a request before its call, and again after it; four cores then serve 22 requests per second.
 HALF_WORK_S = 0.088
 CLASSES = (
     RequestClass("price-view", latency_objective=1_400_000, client_timeout=3_400_000),
@@ -47,7 +47,7 @@
         retry_window=17_364_000,
     ),
 )
-CLASS_MIX = (5, 3, 2)
+CLASS_WEIGHTS = (5, 3, 2)
 SETTINGS = Settings(
     cores=CORES,
     memory=200_000.0,
@@ -64,33 +64,33 @@
     drain_grace=2_500_000,
     max_retry_after=1_000_000,
 )
-# Clients retry so soon after a rejection, and make so many attempts in all.
+# Delay between a rejection and the client's retry, and the attempts of a client for one request.
 RETRY_DELAY_US = 2_000
 MAX_ATTEMPTS = 5
-# Requests that the cores serve a second at the least, while all rejected requests are read as well.
+# Requests per second that the cores serve at least while the server also reads the rejected requests.
 MIN_SERVICE_RATE = 0.85 * CORES / (2 * HALF_WORK_S)
-# Time without faults before a fault; the rate that is served then has to be reached again.
-CALM_S = 8
-# Time for which the server is observed after a fault.
+# Time without faults before the fault; the rate that is served in it must be reached again afterwards.
+BEFORE_FAULT_S = 8
+# Time for which the server is observed after the fault.
 OBSERVED_S = 60
-# Recovered: this fraction of the rate before is served over so many seconds.
+# The server has recovered when it serves this fraction of the earlier rate over a window of this length.
 RECOVERED_FRACTION = 0.9
 RECOVERY_WINDOW_S = 3
 
 KINDS = ("slow", "silent", "refusing", "down", "away", "late", "cores")
 
 
-# A call that is rejected, or reaches nobody, ends after this time.
+# A call that is rejected, or can't be delivered, ends after this time.
 REJECTED_CALL_US = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault that begins at `CALM_S` (`late`: at the start).
+    """A fault that begins at `BEFORE_FAULT_S` (`late`: at the start).
 
-    `slow`: calls take `factor` times as long. `silent`: calls are never answered. `refusing`, `down`: calls
-    are rejected unseen, or reach nobody. `away`, `late`: the pool's notices arrive only at the end of the
-    fault. `cores`: work takes `factor` times as long.
+    `slow`: calls take `factor` times as long. `silent`: calls are never answered. `refusing`: calls are
+    rejected before they run. `down`: calls can't be delivered. `away`, `late`: the pool's notices arrive only
+    at the end of the fault. `cores`: CPU work takes `factor` times as long.
     """
 
     kind: str
@@ -99,7 +99,7 @@
 
 
 class _Stage(Enum):
-    """Progress of a run relative to its call."""
+    """Progress of a run with respect to its call."""
 
     BEFORE_CALL = 1
     AT_CALL = 2
@@ -111,12 +111,12 @@
     """One server, from its start to `OBSERVED_S` after the end of the fault."""
 
     fault: Fault
-    rate: float  # requests a second, without retries
+    rate: float  # original requests per second, without retries
     call_s: float = 0.16
     seed: int = 1
-    tells_over: bool = True  # the pool itself ends a run that waits for its call, once its request is over
-    watch_s: int = OBSERVED_S  # after the end of the fault
-    served: Counter[int] = field(default_factory=Counter)  # requests served, by second
+    tells_over: bool = True  # the pool ends a run that waits for its call once the request is over
+    watch_s: int = OBSERVED_S  # observed time after the end of the fault
+    served: Counter[int] = field(default_factory=Counter)  # number of served requests in each second
     rejected: Counter[int] = field(default_factory=Counter)
     runs: Counter[int] = field(default_factory=Counter)
 
@@ -124,22 +124,22 @@
         self.random = random.Random(self.seed)
         self.control = Controller(SETTINGS, self.seed, 0)
         self.now = 0
-        self.fault_begins_us = 0 if self.fault.kind == "late" else CALM_S * SECOND
-        self.fault_ends_us = (CALM_S + self.fault.duration_s) * SECOND
+        self.fault_begins_us = 0 if self.fault.kind == "late" else BEFORE_FAULT_S * SECOND
+        self.fault_ends_us = (BEFORE_FAULT_S + self.fault.duration_s) * SECOND
         self._agenda: list[tuple[int, int, Callable[[], None]]] = []
-        self._count = itertools.count(1)
+        self._numbers = itertools.count(1)
         self._waiting_for_core: list[int] = []
         self._busy_cores = 0
-        self._stage: dict[int, _Stage] = {}  # of each run
-        self._calls: dict[int, int] = {}  # number of the call that each run waits for
-        self._began: dict[int, int] = {}
-        self._attempts: dict[int, tuple[int, int]] = {}  # class, and number of the attempt
+        self._stage: dict[int, _Stage] = {}  # by request id
+        self._calls: dict[int, int] = {}  # by request id, the number of the call that the run waits for
+        self._started_at: dict[int, int] = {}
+        self._attempts: dict[int, tuple[int, int]] = {}  # by request id, class and number of the attempt
         self._schedule(0, self._create_request)
         self._handle()
 
     @property
     def faulty(self) -> bool:
-        """Whether the fault lasts now."""
+        """Whether the fault is active now."""
         return self.fault_begins_us <= self.now < self.fault_ends_us
 
     def run(self) -> ServerSimulation:
@@ -151,43 +151,43 @@
         return self
 
     def recovery_s(self) -> int | None:
-        """Seconds from the fault's end until the rate before, or that of the load, is served; None: never."""
+        """Seconds from the end of the fault until the earlier rate, or the load's, is served; None: never."""
         ends_at = self.fault_ends_us // SECOND
-        before = range(2, CALM_S)
-        usual = min(self.rate, MIN_SERVICE_RATE)
+        before = range(2, BEFORE_FAULT_S)
+        rate_before = min(self.rate, MIN_SERVICE_RATE)
         if self.fault.kind != "late":
-            usual = min(usual, sum(self.served[second] for second in before) / len(before))
+            rate_before = min(rate_before, sum(self.served[second] for second in before) / len(before))
         for second in range(ends_at, ends_at + self.watch_s - RECOVERY_WINDOW_S):
             window = range(second, second + RECOVERY_WINDOW_S)
             served = sum(self.served[in_window] for in_window in window) / RECOVERY_WINDOW_S
-            if served >= RECOVERED_FRACTION * usual:
+            if served >= RECOVERED_FRACTION * rate_before:
                 return second - ends_at
         return None
 
     def longest_standstill_s(self) -> int:
-        """The longest time after the fault in which requests arrived and none was started, in seconds."""
+        """The longest time in seconds after the fault in which requests arrived and none was started."""
         ends_at = self.fault_ends_us // SECOND
         longest = 0
         standstill = 0
         for second in range(ends_at, ends_at + self.watch_s):
-            standing_still = not self.runs[second] and self.rejected[second]
-            standstill = standstill + 1 if standing_still else 0
+            is_standstill = not self.runs[second] and self.rejected[second]
+            standstill = standstill + 1 if is_standstill else 0
             longest = max(longest, standstill)
         return longest
 
     # --- clients
 
     def _schedule(self, delay_us: float, task: Callable[[], None]) -> None:
-        heapq.heappush(self._agenda, (self.now + int(delay_us), next(self._count), task))
+        heapq.heappush(self._agenda, (self.now + int(delay_us), next(self._numbers), task))
 
     def _create_request(self) -> None:
         self._schedule(self.random.expovariate(self.rate) * SECOND, self._create_request)
-        self._send_attempt(self.random.choices(range(len(CLASS_MIX)), CLASS_MIX)[0], 1)
+        self._send_attempt(self.random.choices(range(len(CLASS_WEIGHTS)), CLASS_WEIGHTS)[0], 1)
 
-    def _send_attempt(self, cls: int, number: int) -> None:
-        request_id = next(self._count)
-        self._attempts[request_id] = cls, number
-        self._handle(Arrival(request_id, cls, memory=24.5, client=self.random.randrange(8)))
+    def _send_attempt(self, class_index: int, number: int) -> None:
+        request_id = next(self._numbers)
+        self._attempts[request_id] = class_index, number
+        self._handle(Arrival(request_id, class_index, memory=24.5, client=self.random.randrange(8)))
 
     # --- the controller
 
@@ -201,14 +201,14 @@
         elif isinstance(action, StartRun):
             self.runs[self.now // SECOND] += 1
             self._stage[action.request_id] = _Stage.BEFORE_CALL
-            self._began[action.request_id] = self.now
+            self._started_at[action.request_id] = self.now
             self._waiting_for_core.append(action.request_id)
             self._assign_cores()
         elif isinstance(action, Reject):
             self.rejected[self.now // SECOND] += 1
-            cls, number = self._attempts.pop(action.request_id)
+            class_index, number = self._attempts.pop(action.request_id)
             if number < MAX_ATTEMPTS:
-                self._schedule(RETRY_DELAY_US, lambda: self._send_attempt(cls, number + 1))
+                self._schedule(RETRY_DELAY_US, lambda: self._send_attempt(class_index, number + 1))
         elif isinstance(action, Fail):
             if self._stage.get(action.request_id) is _Stage.AT_CALL and self.tells_over:
                 self._end(action.request_id, Outcome.CANCELLED)
@@ -225,7 +225,7 @@
     # --- the pool
 
     def _notice(self, event: Event) -> None:
-        """Hand in a notice of the pool at once, or once its link is up."""
+        """Pass a notice of the pool to the controller at once, or when the link is up again."""
         link_down = self.faulty and self.fault.kind in ("away", "late")
         self._schedule(self.fault_ends_us - self.now if link_down else 0, lambda: self._handle(event))
 
@@ -249,7 +249,7 @@
 
     def _end(self, request_id: int, outcome: Outcome) -> None:
         del self._stage[request_id]
-        duration = self.now - self._began.pop(request_id)
+        duration = self.now - self._started_at.pop(request_id)
         self._calls.pop(request_id, None)
         self._attempts.pop(request_id, None)
         self._notice(RunFinished(request_id, outcome, duration))
@@ -266,12 +266,12 @@
         elif fault == "silent" or duration >= timeout:
             duration = timeout
             outcome = Outcome.TIMEOUT
-        number = self._calls[request_id] = next(self._count)
+        number = self._calls[request_id] = next(self._numbers)
         self._schedule(duration, lambda: self._finish_call(request_id, number, outcome, int(duration)))
 
     def _finish_call(self, request_id: int, number: int, outcome: Outcome, duration: int) -> None:
         if self._calls.get(request_id) != number:
-            return  # its run has ended
+            return  # the run has ended
         del self._calls[request_id]
         if outcome is Outcome.OK:
             self._stage[request_id] = _Stage.AFTER_CALL
@@ -281,24 +281,24 @@
 
 
 RATES = (1.0, 5.0, 13.0, 20.0, 50.0)
-LENGTHS_S = (2, 6, 30)
+FAULT_DURATIONS_S = (2, 6, 30)
 SEEDS = (1, 2, 3)
 
 
 @dataclass(frozen=True)
 class Row:
-    """Result for a kind of fault, a rate and a kind of pool; the names are the keys of the JSON report."""
+    """Results for a kind of fault, a rate and a kind of pool; field names are keys of the JSON report."""
 
     kind: str
     rate: float
     tells_over: bool
-    back_s: list[list[int | None]]  # by length, then by seed; None: never
-    shut_s: int  # the longest standstill
+    back_s: list[list[int | None]]  # by duration of the fault, then by seed; None: never
+    shut_s: int  # the longest standstill in seconds
 
 
 @dataclass
 class Report:
-    """The table of all results."""
+    """Results of all cases."""
 
     rows: list[Row]
 
@@ -310,13 +310,13 @@
     def as_json(self) -> dict[str, Any]:
         """The report for a file."""
         rows = [asdict(row) for row in self.rows]
-        return {"good": self.good, "lengths_s": LENGTHS_S, "seeds": SEEDS, "rows": rows}
+        return {"good": self.good, "lengths_s": FAULT_DURATIONS_S, "seeds": SEEDS, "rows": rows}
 
     def lines(self) -> list[str]:
         """The report for a terminal."""
-        head = " ".join(f"{f'{length} s':>19}" for length in LENGTHS_S)
+        head = " ".join(f"{f'{length} s':>19}" for length in FAULT_DURATIONS_S)
         lines = [
-            f"Seconds from the trouble's end until as much is served as before it, seeds {SEEDS}.",
+            f"Seconds from the end of the fault until the earlier rate is served again, seeds {SEEDS}.",
             f"{'trouble':9} {'a second':>8} {'pool':5} {head} shut",
         ]
         for row in self.rows:
@@ -336,7 +336,7 @@
             ServerSimulation(Fault(kind, length), rate, seed=seed, tells_over=tells_over).run()
             for seed in SEEDS
         ]
-        for length in LENGTHS_S
+        for length in FAULT_DURATIONS_S
     ]
     return Row(
         kind,
@@ -348,7 +348,7 @@
 
 
 def play(kinds: Sequence[str] = KINDS, rates: Sequence[float] = RATES) -> Report:
-    """Simulate all kinds of faults at all rates, on all cores."""
+    """Simulate all kinds of faults at all rates, using all cores."""
     cases = [(kind, rate, tells_over) for kind in kinds for rate in rates for tells_over in (True, False)]
     with ProcessPoolExecutor() as workers:
         return Report(list(workers.map(_row, cases)))
--- a/cairnvane/testbed/experiments/restarts.py
+++ b/cairnvane/testbed/experiments/restarts.py
@@ -1,8 +1,8 @@
-"""`cairnvane lab restarts`: the real program is killed again and again under load, and no commit may be lost.
+"""`cairnvane lab restarts`: kills the real server repeatedly under load; no commit may be lost.
 
-After each restart, all commits whose retry window is not over are retried. The worker pool outlives most of
-the kills and is restarted with the server in others. Kills come at random moments and at named steps of the
-store's work; some of them three in a row.
+After each restart, all commits within their retry window are retried. The worker pool keeps running through
+most kills and is restarted together with the server in the others. The server is killed at random times and
+at named steps of the idempotency store; some kills follow each other three times in a row.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
     operator_file,
 )
 
-# A commit is not retried so shortly before its window is over: the checker's clock is not the server's.
+# Retries stop this long before the end of the window, since the checker's clock differs from the server's.
 WINDOW_MARGIN_S = 2.0
-# The steps of the store's work at which the process may be killed.
+# Steps of the store at which the process may be killed.
 STEPS = (
     "append intent",
     "written intent",
@@ -50,27 +50,28 @@
     "compaction",
     "compacted",
 )
-# These come once in a while, the others with each commit.
+# Steps that occur only occasionally; the others occur with each commit.
 RARE_STEPS = ("recovery", "rotation", "drop", "compaction", "compacted")
-# Shares of the kills that come at a named step, and with a restart of the pool.
-KILL_AT_STEP = 0.6
-KILL_WITH_POOL = 0.25
-# A step is passed fewer times than this before the kill: it comes while new commits do.
-MAX_STEPS_PASSED = 10
-THREE_IN_A_ROW = 0.15
-# A step is waited for so long once all commits of an incarnation are sent; then a plain kill comes.
+# Fractions of the kills that happen at a named step, and together with a restart of the pool.
+KILL_AT_STEP_FRACTION = 0.6
+KILL_WITH_POOL_FRACTION = 0.25
+# The step occurs fewer times than this before the kill, so that the kill happens while new commits arrive.
+MAX_STEP_OCCURRENCES = 10
+# Probability that early kills follow, so that there are three kills in a row.
+THREE_KILLS_PROBABILITY = 0.15
+# Time to wait for the step after all commits of an incarnation are sent; then the server is killed anyway.
 RARE_STEP_WAIT_S = 0.8
 STEP_WAIT_S = 0.2
-# An early kill comes within this time.
+# An early kill happens within this time after the start.
 EARLY_KILL_S = 0.05
-# Beyond its own time for a graceful shutdown, the server may take this long to end.
+# Time that the server may take to end in addition to its own limit for a graceful shutdown.
 STOP_MARGIN_S = 5
 PROGRESS_KILLS = 10
 
 
 @dataclass
 class Report:
-    """Result of the experiment; the names are the keys of the JSON report."""
+    """Result of the experiment; field names are keys of the JSON report."""
 
     seed: int
     durability: str
@@ -83,7 +84,7 @@
 
     @property
     def good(self) -> bool:
-        """Whether every guarantee held, and nothing else went wrong."""
+        """Whether all guarantees held and no other problem occurred."""
         return self.verdict.good and not self.trouble
 
     def as_json(self) -> dict[str, Any]:
@@ -129,7 +130,7 @@
         mutant: str = "",
         say: Callable[[str], None] = lambda line: None,
     ) -> None:
-        """`rate`: new commits a second; `mutant`: see `instrumented_server`; `say` gets lines of progress."""
+        """`rate`: new commits per second; `mutant`: see `instrumented_server`; `say` reports progress."""
         self._random = random.Random(seed)
         self._seed = seed
         self._durability = durability
@@ -158,7 +159,7 @@
         self._non_keyed_requests = 0
 
     def run(self) -> Report:
-        """Run all incarnations, and check the records."""
+        """Run all incarnations, and check the records of the stand-ins."""
         try:
             self._run_incarnations()
         finally:
@@ -184,7 +185,7 @@
             if early_kills_left:
                 early_kills_left -= 1
             else:
-                early_kills_left = 2 * (self._random.random() < THREE_IN_A_ROW)
+                early_kills_left = 2 * (self._random.random() < THREE_KILLS_PROBABILITY)
             self._run_killed_incarnation(quota, early=early_kills_left > 0)
             sent += quota
             if (number + 1) % PROGRESS_KILLS == 0:
@@ -195,10 +196,10 @@
 
     def _run_killed_incarnation(self, quota: int, early: bool) -> None:
         """Start the server, send `quota` new commits, and kill it."""
-        step = self._random.choice(STEPS) if self._random.random() < KILL_AT_STEP else ""
-        passed = 0 if step in RARE_STEPS else self._random.randrange(MAX_STEPS_PASSED)
-        with_pool = self._random.random() < KILL_WITH_POOL
-        server = server_process.start(self._site, f"{step}:{passed}" if step else "", self._mutant)
+        step = self._random.choice(STEPS) if self._random.random() < KILL_AT_STEP_FRACTION else ""
+        occurrences = 0 if step in RARE_STEPS else self._random.randrange(MAX_STEP_OCCURRENCES)
+        with_pool = self._random.random() < KILL_WITH_POOL_FRACTION
+        server = server_process.start(self._site, f"{step}:{occurrences}" if step else "", self._mutant)
         kill_after_s = self._random.uniform(0.0, EARLY_KILL_S if early else quota / self._rate)
         balancer = self._connect(server)
         if balancer is None:
@@ -222,7 +223,7 @@
         step: str,
         kill_after_s: float,
     ) -> None:
-        """Send the commits, and wait for the step, or for the moment of a plain kill."""
+        """Send the commits, and wait for the step or for the time of the kill."""
         retries = threading.Thread(target=self._retry_commits, args=(balancer,))
         retries.start()
         self._send_commits(balancer, quota)
@@ -236,11 +237,11 @@
         self._kills_by_step[step] = self._kills_by_step.get(step, 0) + 1
 
     def _run_last_incarnation(self, quota: int) -> None:
-        """Start the server, send the last commits, wait for all answers, and stop it in order."""
+        """Start the server, send the last commits, wait for all answers, and shut down gracefully."""
         server = server_process.start(self._site, mutant=self._mutant)
         balancer = self._connect(server)
         if balancer is None:
-            self._trouble.append("the last life did not start: " + " | ".join(server.lines[-3:]))
+            self._trouble.append("the last incarnation did not start: " + " | ".join(server.lines[-3:]))
             server.kill()
             return
         self._send_commits(balancer, quota)
@@ -251,17 +252,17 @@
         balancer.close()
         status = server.stop(self._site.stop_ms / 1e3 + STOP_MARGIN_S)
         if status != 0:
-            self._trouble.append(f"the last life ended with status {status}")
+            self._trouble.append(f"the last incarnation ended with status {status}")
         self._record_server(server)
 
     def _connect(self, server: server_process.Life) -> StandInBalancer | None:
-        """Clients of this server; None if it ended before it listened."""
+        """Connect clients to this server; None if it ended before it accepted connections."""
         if not server.listens():
             return None
         self._ready_ms.append((time.monotonic() - server.began) * 1e3)
         try:
             return StandInBalancer(server.port)
-        except OSError:  # it has ended since
+        except OSError:  # the server has ended in the meantime
             return None
 
     def _record_server(self, server: server_process.Life) -> None:
@@ -278,12 +279,12 @@
         return commit
 
     def _add_unsent_commits(self, quota: int) -> None:
-        """Commits whose first attempt reaches nobody: they are sent to a later incarnation."""
+        """Create commits without sending them; a later incarnation receives their first attempt."""
         for _ in range(quota):
             self._create_commit()
 
     def _send_commits(self, balancer: StandInBalancer, quota: int) -> None:
-        """Send new commits at the rate, with a request that is not keyed after each."""
+        """Send new commits at the configured rate, each followed by a request without a key."""
         start = time.monotonic()
         for number in range(quota):
             wait_s = start + number / self._rate - time.monotonic()
@@ -295,7 +296,7 @@
             balancer.send(self._request_id(), NON_KEYED_CLASS, body, None, lambda reply: None)
 
     def _retry_commits(self, balancer: StandInBalancer) -> None:
-        """Retry all commits whose window is not over."""
+        """Retry all commits that are within their retry window."""
         now = time.monotonic()
         for commit in list(self._checker.commits):
             if commit.first_sent_at and now - commit.first_sent_at > RETRY_WINDOW_S - WINDOW_MARGIN_S:
--- a/cairnvane/testbed/experiments/shares.py
+++ b/cairnvane/testbed/experiments/shares.py
@@ -1,9 +1,10 @@
 """`cairnvane lab shares`: quota leases for one dependency in virtual time, compared with two simple schemes.
 
-Partitions, message loss, stalls, kills and restarts happen meanwhile. The schemes (arms): `floor`, each
-server keeps to its own part; `view`, each takes the limit divided by the number of servers that it sees;
-`lent`, the real quota leases. Reported for each: the most by which all quotas together exceeded the limit,
-and the share of the wanted calls that could be made, of what a scheme with complete knowledge could allow.
+The simulated servers experience partitions, message loss, stalls, kills and restarts. The schemes (`arm`) are
+`floor`: each server uses only its own guaranteed part; `view`: each server takes the limit divided by the
+number of servers that it has recently heard of; `lent`: the real quota leases. For each scheme the report
+shows by how much the sum of all quotas exceeded the limit at worst, and the calls that could be made as
+a fraction of those that a scheme with complete knowledge would allow.
 """
 
 from __future__ import annotations
@@ -23,22 +24,22 @@
 SECOND = 1_000_000
 ARMS = ("floor", "view", "lent")
 TROUBLES = ("calm", "loss", "cut", "stops", "deaths", "all")
-# Calls in flight that the dependency bears, for each server.
+# Concurrent calls that the dependency can handle, per server.
 FLOOR = 10.0
 # Interval of a server's own timer.
 TICK_US = 50_000
 # Interval at which a server announces its spare quota to the others.
 ANNOUNCEMENT_US = 500_000
-# An older announcement counts for nothing; a view forgets a silent server after as long.
+# Older announcements are ignored; `view` stops counting a server that was silent for this time.
 STALE_US = 2_000_000
-# Interval at which the demand of each server is drawn anew, and the cluster's demand as a part of the limit.
+# Interval at which the demand of each server is redrawn, and the total demand as a fraction of the limit.
 DEMAND_SHIFT_US = 4_000_000
-DEMAND = 0.9
-# Relative demands that are drawn.
+DEMAND_FRACTION = 0.9
+# Relative demands of single servers to draw from.
 DEMAND_WEIGHTS = (0.4, 0.8, 1.6)
 # Bounds of a message's delay.
-LEAST_DELAY_US = 300
-MOST_DELAY_US = 30_000
+MIN_DELAY_US = 300
+MAX_DELAY_US = 30_000
 FIRST_FAULT_S = 4
 FIRST_MEASUREMENT_S = 2
 RUN_S = 40
@@ -48,15 +49,15 @@
 class _Server:
     incarnation: int
     leases: QuotaLeases
-    demand: float = FLOOR  # calls in flight that it wants
+    demand: float = FLOOR  # concurrent calls that its requests need
     up: bool = True
     stalled_until: int = 0
-    # By server: when its last announcement came, and its spare quota then.
+    # By server: the time of its last announcement, and the spare quota in it.
     announcements: dict[int, tuple[int, float]] = field(default_factory=dict)
 
 
 class World:
-    """All servers, the messages between them, and the faults of server run. Times in microseconds."""
+    """The servers of one run, the messages between them, and the injected faults. Times in microseconds."""
 
     def __init__(self, arm: str, trouble: str, servers: int, seed: int) -> None:
         self.arm = arm
@@ -73,15 +74,15 @@
         ]
         self.loss = 0.2 if trouble in ("loss", "all") else 0.0
         self._partition = [0] * servers
-        self.worst = 0.0  # excess of all quotas over the limit
-        self.made = 0.0  # calls that could be made, summed over all measurements
-        self.could = 0.0  # the attainable calls
+        self.worst = 0.0  # highest excess of the sum of quotas over the limit, as a fraction of it
+        self.made = 0.0  # concurrent calls that the quotas allowed, summed over all measurements
+        self.could = 0.0  # calls that complete knowledge would allow, summed likewise
         self.messages = 0
 
     # --- quotas
 
     def cap(self, number: int) -> float:
-        """Calls in flight that this server may have now."""
+        """The current limit on this server's concurrent calls."""
         server = self.servers[number]
         if not server.up:
             return 0.0
@@ -93,7 +94,7 @@
         return self.limit / (1 + seen)
 
     def _attainable(self) -> float:
-        """Calls in flight that complete knowledge could allow."""
+        """Concurrent calls that a scheme with complete knowledge would allow."""
         return min(self.limit, sum(server.demand for server in self.servers if self._is_running(server)))
 
     def _is_running(self, server: _Server) -> bool:
@@ -107,7 +108,7 @@
     def _send(self, source: int, to: int, task: Callable[[], None]) -> None:
         self.messages += 1
         if self._reaches(source, to):
-            self._push(self.now + self._random["links"].randint(LEAST_DELAY_US, MOST_DELAY_US), task)
+            self._push(self.now + self._random["links"].randint(MIN_DELAY_US, MAX_DELAY_US), task)
 
     def _push(self, at: int, task: Callable[[], None]) -> None:
         heapq.heappush(self._agenda, (at, next(self._order), task))
@@ -116,7 +117,7 @@
         server = self.servers[to]
         if server.incarnation != to_incarnation or not server.up:
             return
-        if server.stalled_until > self.now:  # the message waits in its socket
+        if server.stalled_until > self.now:  # a stalled process reads the message from its socket later
             self._push(
                 server.stalled_until, lambda: self._deliver(source, incarnation, to, to_incarnation, message)
             )
@@ -171,12 +172,12 @@
             server.announcements[source] = self.now, spare
 
     def _shift_demand(self) -> None:
-        """Clients go elsewhere: some servers get several times the demand of others."""
+        """Redraw the demand of each server: some get several times that of others."""
         self._push(self.now + DEMAND_SHIFT_US, self._shift_demand)
         weights = [self._random["want"].choice(DEMAND_WEIGHTS) for _ in self.servers]
-        whole = sum(weights)
+        total_weight = sum(weights)
         for server, weight in zip(self.servers, weights, strict=True):
-            server.demand = weight / whole * self.limit * DEMAND
+            server.demand = weight / total_weight * self.limit * DEMAND_FRACTION
 
     def _measure(self) -> None:
         self._push(self.now + TICK_US, self._measure)
@@ -210,7 +211,7 @@
         self.servers[number] = _Server(next(self._incarnations), QuotaLeases(FLOOR, self.now), demand)
 
     def run(self) -> Self:
-        """Run for `RUN_S` seconds of virtual time."""
+        """Simulate `RUN_S` seconds of virtual time."""
         self._shift_demand()
         for number in range(self.count):
             self._push(self._random["links"].randint(0, TICK_US), partial(self._tick, number))
@@ -225,25 +226,25 @@
 
 @dataclass(frozen=True)
 class Row:
-    """One kind of fault, one size, one scheme, over the seeds; the names are the keys of the JSON report."""
+    """Results for a kind of fault, a size and a scheme, over all seeds; field names are JSON keys."""
 
     trouble: str
     servers: int
     arm: str
-    over: float  # the most by which all quotas together exceeded the limit, as a fraction of it
-    made: float  # the share of the attainable calls that were made, in the mean
-    messages_a_second: float  # of one server
+    over: float  # highest excess of the sum of quotas over the limit, as a fraction of it
+    made: float  # mean fraction of the attainable calls that could be made
+    messages_a_second: float  # sent per server
 
 
 @dataclass
 class Report:
-    """The table of all results."""
+    """Results of all cases."""
 
     rows: list[Row]
 
     @property
     def good(self) -> bool:
-        """Whether quotas with leases never added up to more than the limit."""
+        """Whether the sum of the leased quotas never exceeded the limit."""
         return all(row.over <= 1e-9 for row in self.rows if row.arm == "lent")
 
     def as_json(self) -> dict[str, Any]:
@@ -275,7 +276,7 @@
     arms: Sequence[str] = ARMS,
     say: Callable[[str], None] = lambda line: None,
 ) -> Report:
-    """Run all cases, on all cores."""
+    """Run all cases, using all cores."""
     cases = [(arm, trouble, servers) for servers in sizes for trouble in troubles for arm in arms]
     return Report(
         [
--- a/cairnvane/testbed/experiments/upgrade_load.py
+++ b/cairnvane/testbed/experiments/upgrade_load.py
@@ -1,6 +1,6 @@
-"""The load of the upgrade experiment: commits that come back, some of them twice at once or forged.
+"""The load of the upgrade experiment: commits and their retries, some sent twice at once, some forged.
 
-Each request may meet any of the processes that serve, since connections are closed now and then.
+Connections are closed at intervals, so that each request may reach any of the serving processes.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ..stand_ins.balancer import DISCONNECTED, Reply, StandInBalancer
 from .keyed_workload import CLIENT_TIMEOUT_S, DEADLINE_SLACK_S, KEYED_CLASS, NON_KEYED_CLASS
 
-# Shares of the commits that are sent twice at the same moment, and of the retries that bring another body.
-SENT_TWICE = 0.3
-FORGED = 0.2
-# A commit is retried about so long after it was first sent, each time multiplied by a factor between these.
+# Fractions of commits that are sent twice at once, and of retries that carry a different body.
+SENT_TWICE_FRACTION = 0.3
+FORGED_FRACTION = 0.2
+# Delays of a commit's retries after its first attempt; each is multiplied by a random factor.
 RETRY_DELAYS_S = (0.05, 0.4, 2.0)
-LEAST_DELAY = 0.5
-MOST_DELAY = 1.5
+MIN_DELAY_FACTOR = 0.5
+MAX_DELAY_FACTOR = 1.5
 RETRY_POLL_S = 0.002
 CONNECTIONS = 8
 # Interval at which one connection is closed, if it is idle.
@@ -28,7 +28,7 @@
 
 
 class UpgradeLoad:
-    """Sends commits at a rate, in threads of its own, from `start` until `stop`."""
+    """Sends commits at a given rate from its own threads, between `start` and `stop`."""
 
     def __init__(
         self,
@@ -41,10 +41,10 @@
         rate: float,
         forge: bool,
     ) -> None:
-        """Connect to whoever listens at `port`; `rate`: new commits a second; `forge`: send forged ones."""
-        self.forged = 0  # attempts with another body under a known key
+        """Connect to `port`; `rate`: new commits per second; `forge`: also send forged retries."""
+        self.forged = 0  # attempts with a different body under the key of a served commit
         self.forged_served = 0
-        self.unanswered = 0  # requests that ended without an answer on a second connection too
+        self.unanswered = 0  # requests whose connection was closed without an answer, twice in a row
         self._checker = checker
         self._random = rng
         self._seed = seed
@@ -56,12 +56,12 @@
         self._retries: list[tuple[float, int, Commit]] = []  # due time, random order, commit
         self._request_ids = 0
         self._non_keyed_requests = 0
-        self._over = threading.Event()
+        self._stopped = threading.Event()
         tasks = (self._send_commits, self._send_retries, self._close_connections)
         self._threads = [threading.Thread(target=task, daemon=True) for task in tasks]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start the sending threads."""
         for thread in self._threads:
             thread.start()
 
@@ -71,11 +71,11 @@
         return len(self._checker.commits) >= self._commits
 
     def stop(self) -> None:
-        """Tell all threads to end."""
-        self._over.set()
+        """Signal all threads to end."""
+        self._stopped.set()
 
     def finish(self) -> None:
-        """Wait for the threads to end and for the answers that are missing, then close all connections."""
+        """Wait for the threads and for outstanding answers, then close all connections."""
         for thread in self._threads:
             thread.join()
         self._checker.settle(self._send_attempt, CLIENT_TIMEOUT_S + DEADLINE_SLACK_S)
@@ -84,9 +84,9 @@
     # --- threads
 
     def _send_commits(self) -> None:
-        """Send new commits at the rate until all are created, with a request that is not keyed after each."""
+        """Send all new commits at the configured rate, each followed by a request without a key."""
         start = time.monotonic()
-        while not self._over.is_set() and not self.all_sent:
+        while not self._stopped.is_set() and not self.all_sent:
             number = len(self._checker.commits)
             wait_s = start + number / self._rate - time.monotonic()
             if wait_s > 0:
@@ -94,7 +94,7 @@
             commit = Commit(b"commit %d" % number, self._random.randbytes(16).hex())
             self._checker.add(commit)
             self._send_attempt(commit)
-            if self._random.random() < SENT_TWICE:
+            if self._random.random() < SENT_TWICE_FRACTION:
                 self._send_attempt(commit)
             self._schedule_retries(commit)
             body = b"view %d" % self._non_keyed_requests
@@ -104,15 +104,15 @@
         now = time.monotonic()
         with self._lock:
             for delay_s in RETRY_DELAYS_S:
-                due_at = now + delay_s * self._random.uniform(LEAST_DELAY, MOST_DELAY)
+                due_at = now + delay_s * self._random.uniform(MIN_DELAY_FACTOR, MAX_DELAY_FACTOR)
                 heapq.heappush(self._retries, (due_at, self._random.getrandbits(62), commit))
             self._non_keyed_requests += 1
 
     def _send_retries(self) -> None:
-        """Retry commits that are due; some of them forged."""
-        while not self._over.is_set():
+        """Send the retries that are due; some of them forged."""
+        while not self._stopped.is_set():
             for commit in self._due_retries():
-                if self._forge and self._random.random() < FORGED:
+                if self._forge and self._random.random() < FORGED_FRACTION:
                     self._send_forged(commit)
                 else:
                     self._send_attempt(commit)
@@ -126,8 +126,8 @@
         return due
 
     def _close_connections(self) -> None:
-        """Close idle connections now and then: their next request may meet another process."""
-        while not self._over.wait(CLOSE_INTERVAL_S):
+        """Close idle connections at intervals, so that their next request may reach another process."""
+        while not self._stopped.wait(CLOSE_INTERVAL_S):
             self._balancer.close_if_idle(self._random.randrange(CONNECTIONS))
 
     # --- requests
@@ -147,17 +147,17 @@
         self._checker.record_reply(commit, reply)
         if reply.status != DISCONNECTED:
             return
-        # A request that crossed the close of an idle connection is sent again, once, on a new one.
+        # The server may close an idle connection while a request is on its way: the request is resent once.
         if resent:
             with self._lock:
                 self.unanswered += 1
-        elif not self._over.is_set():
+        elif not self._stopped.is_set():
             threading.Thread(target=self._send_attempt, args=(commit, True), daemon=True).start()
 
     def _send_forged(self, commit: Commit) -> None:
-        """Send another body under the commit's key, if the commit was served.
+        """Send a different body under the commit's key, if the commit was served.
 
-        Before that, whichever body comes first under a key is the request of that key.
+        Before that, the forged request could arrive first and be accepted as the original of the key.
         """
         if not commit.served_bodies:
             return
--- a/cairnvane/testbed/experiments/upgrades.py
+++ b/cairnvane/testbed/experiments/upgrades.py
@@ -1,9 +1,9 @@
-"""`cairnvane lab upgrade`: versions of the real program take over from each other under load.
+"""`cairnvane lab upgrade`: replaces the running server process by a new one under load, repeatedly.
 
-Each round starts a process beside the one that serves, at the same address and with a worker pool and an
-administration endpoint of its own. Commits are sent all the while, and retried at whichever process their
-connection meets. What else happens in a round is drawn: a plain handover; the old process killed; the new one
-ended, so that the old one goes on; the old one stopped for seconds; two new ones at once.
+Each round starts a new process next to the serving one, at the same address and with its own worker pool and
+administration endpoint. Commits are sent and retried throughout, and reach whichever process accepts their
+connection. The kind of each round is chosen at random: a plain handover; the old process is killed; the new
+one ends and the old one continues; the old one is stopped for some seconds; two new processes start at once.
 """
 
 from __future__ import annotations
@@ -30,21 +30,21 @@
 from .upgrade_load import UpgradeLoad
 
 PLAIN_ROUND = "handover"
-# What may happen in a round where kills are asked for.
+# Kinds of rounds to choose from if kills are enabled.
 ROUNDS = (PLAIN_ROUND, PLAIN_ROUND, "old killed", "new ended", "old stopped", "two at once")
-# How long a process that is stopped stands still.
+# Time between SIGSTOP and SIGCONT.
 STOPPED_S = 3.0
 # Bounds of the random pauses before an old version is ended, and between two rounds.
 HANDOVER_PAUSE_S = (0.05, 0.3)
 ROUND_PAUSE_S = (0.2, 0.6)
-# In each upgrade, so many requests may end without an answer at the closing listener.
-MAX_UNREAD_PER_UPGRADE = 2
+# Number of requests that may end unanswered in each upgrade because the old version closes its listener.
+MAX_UNANSWERED_PER_UPGRADE = 2
 # Interval of the operator's requests to the administration endpoints.
 OPERATOR_INTERVAL_S = 0.05
-# For this time, the operator alone sends requests to the first version.
+# Time in which only the operator uses the first version's endpoint, before hostile clients connect.
 UNDISTURBED_S = 2.0
 STOP_MS = 8_000
-# Beyond its own time for a graceful shutdown, a version may take this long to end.
+# Time that a version may take to end in addition to its own limit for a graceful shutdown.
 STOP_MARGIN_S = 1
 PROGRESS_ROUNDS = 5
 COMMIT_POLL_S = 0.1
@@ -53,7 +53,7 @@
 
 @dataclass
 class Report:
-    """Result of the experiment; the names are the keys of the JSON report."""
+    """Result of the experiment; field names are keys of the JSON report."""
 
     seed: int
     durability: str
@@ -61,10 +61,10 @@
     verdict: Verdict
     forged: int = 0
     forged_served: int = 0
-    at_door: int = 0  # requests that ended without an answer, of a process that was not killed
+    at_door: int = 0  # requests that ended unanswered in rounds without a kill
     most_at_door: int = 0  # in one round
     ready_ms: list[float] = field(default_factory=list)
-    # Median and 99th percentile of the operator's requests, by who else used the endpoint.
+    # Median and 99th percentile duration of the operator's requests, by the other users of the endpoint.
     door_ms: dict[str, list[float]] = field(default_factory=dict)
     door_calls: int = 0
     door_late: int = 0
@@ -74,14 +74,14 @@
 
     @property
     def good(self) -> bool:
-        """Whether every guarantee held, and nothing else went wrong."""
+        """Whether all guarantees held and no other problem occurred."""
         return (
             self.verdict.good
             and self.door_late == 0
             and not self.door_wrong
             and not self.trouble
             and self.forged_served == 0
-            and self.most_at_door <= MAX_UNREAD_PER_UPGRADE
+            and self.most_at_door <= MAX_UNANSWERED_PER_UPGRADE
         )
 
     def as_json(self) -> dict[str, Any]:
@@ -100,12 +100,12 @@
             f"forged tries {self.forged}, of these served {self.forged_served}",
             f"unanswered tries {v.unanswered}, commits without any answer {v.lost}, refusals {v.refusals}, "
             f"failed {v.failed}, broken by a kill {v.broken_tries - self.at_door}",
-            f"ended at the door {self.at_door}, in one round at most {self.most_at_door}",
+            f"unanswered at the closing listener {self.at_door}, in one round at most {self.most_at_door}",
             f"ready after: {self._ready_summary()}",
-            f"the door: {self.door_calls} calls of staff, late {self.door_late}, "
+            f"administration endpoint: {self.door_calls} operator requests, late {self.door_late}, "
             f"wrong {len(self.door_wrong)}",
             *(f"  {who}: median {ms[0]:.1f} ms, 99th {ms[1]:.1f} ms" for who, ms in self.door_ms.items()),
-            f"the ledger at its largest: {self.ledger_kb} KB",
+            f"largest size of the claim log: {self.ledger_kb} KB",
             *(f"  {line}" for line in self.door_wrong[:MAX_FAILURES_SHOWN]),
             *(f"trouble: {line}" for line in self.trouble),
             "good" if self.good else "WRONG",
@@ -135,7 +135,7 @@
         mutant: str = "",
         say: Callable[[str], None] = lambda line: None,
     ) -> None:
-        """`silent`: number of hostile clients of each endpoint; `mutant`: see `instrumented_server`."""
+        """`silent`: number of hostile clients per endpoint; `mutant`: see `instrumented_server`."""
         self._random = random.Random(seed)
         self._seed = seed
         self._folder = folder
@@ -151,16 +151,16 @@
         self._roster = StandInRoster()
         self._site = self._create_site(durability)
         self._checker = DuplicateRunChecker()
-        self._versions: list[ServerVersion] = []  # that have not ended
+        self._versions: list[ServerVersion] = []  # versions that have not ended
         self._hostile_clients: dict[ServerVersion, HostileClients] = {}
         self._pools: list[StandInPool] = []
-        # The operator's requests to endpoints without and with hostile clients.
+        # Results of the operator's requests to endpoints without and with hostile clients.
         self._undisturbed = OperatorRequests()
         self._disturbed = OperatorRequests()
         self._report = Report(seed, durability, {}, self._checker.verdict({}, Counter()))
         self._killed = 0
         self._load: UpgradeLoad | None = None
-        self._over = threading.Event()
+        self._rounds_over = threading.Event()
 
     def _create_site(self, durability: str) -> server_process.Site:
         operator = operator_file(durability, disk_mb=64) if durability != "memory" else None
@@ -175,7 +175,7 @@
         )
 
     def run(self) -> Report:
-        """Run all rounds, and check the records."""
+        """Run all rounds, and check the records of the stand-ins."""
         serving = self._start()
         if not self._await_ready(serving):
             return self._end()
@@ -201,7 +201,7 @@
             self._report.ledger_kb = max(self._report.ledger_kb, self._claim_log_kb())
         while not load.all_sent:
             time.sleep(COMMIT_POLL_S)
-        self._over.set()
+        self._rounds_over.set()
         load.stop()
         operator.join()
         load.finish()
@@ -238,10 +238,10 @@
         return True
 
     def _shut_down(self, version: ServerVersion) -> None:
-        """Send SIGTERM; another exit status than 0 is reported."""
+        """Send SIGTERM, and report any exit status other than 0."""
         status = version.shut_down(self._site.stop_ms / 1e3 + STOP_MARGIN_S)
         if status != 0:
-            self._add_trouble(version, f"a version ended with {status}", 2)
+            self._add_trouble(version, f"a version ended with status {status}", 2)
         self._remove(version)
 
     def _kill_version(self, version: ServerVersion) -> None:
@@ -263,7 +263,7 @@
     # --- rounds
 
     def _run_round(self, serving: ServerVersion, load: UpgradeLoad) -> ServerVersion:
-        """Run one round, and count the requests that ended unread in it; the version that serves then."""
+        """Run one round, and count its unanswered requests; return the version that serves afterwards."""
         kind = self._random.choice(ROUNDS) if self._kill else PLAIN_ROUND
         killed_before = self._killed
         unanswered_before = load.unanswered
@@ -271,13 +271,13 @@
         self._report.rounds[kind] = self._report.rounds.get(kind, 0) + 1
         time.sleep(self._random.uniform(*ROUND_PAUSE_S))
         if self._killed == killed_before:
-            unread = load.unanswered - unanswered_before
-            self._report.at_door += unread
-            self._report.most_at_door = max(self._report.most_at_door, unread)
+            unanswered = load.unanswered - unanswered_before
+            self._report.at_door += unanswered
+            self._report.most_at_door = max(self._report.most_at_door, unanswered)
         return serving
 
     def _upgrade(self, old: ServerVersion, kind: str) -> ServerVersion:
-        """Start a new version, and do what this kind of round says; the version that serves then."""
+        """Start a new version, and run a round of this kind; return the version that serves afterwards."""
         new = self._start()
         third = self._start() if kind == "two at once" else None
         if not self._await_ready(new):
@@ -311,8 +311,8 @@
     # --- the operator
 
     def _send_operator_requests(self) -> None:
-        """Send requests to the endpoints of all versions that are ready, until the rounds are over."""
-        while not self._over.wait(OPERATOR_INTERVAL_S):
+        """Send requests to the endpoints of all ready versions until the rounds are over."""
+        while not self._rounds_over.wait(OPERATOR_INTERVAL_S):
             for version in list(self._versions):
                 if version.ready and version.administration is not None:
                     self._send_operator_request(version, version.administration)
@@ -321,7 +321,7 @@
         requests = self._disturbed if version in self._hostile_clients else self._undisturbed
         sent = OperatorRequests()
         send_request(address, "GET", self._random.choice(["/-/ready", "/-/metrics"]), 200, sent)
-        if version.ready:  # otherwise it is shutting down meanwhile
+        if version.ready:  # requests to a version that has begun to shut down are not counted
             requests.durations_ms += sent.durations_ms
             requests.late += sent.late
             requests.failures += sent.failures
@@ -344,7 +344,7 @@
         return self._report
 
     def _merged_records(self) -> dict[bytes, RunRecord]:
-        """The records of all pools, as of one."""
+        """The records of all pools, merged by request body."""
         merged: dict[bytes, RunRecord] = {}
         for pool in self._pools:
             for body, record in pool.records.items():
--- a/cairnvane/testbed/simulation/invariants.py
+++ b/cairnvane/testbed/simulation/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of the membership protocol, checked by the model checker on the real members."""
+"""Invariants of the membership protocol, which the model checker checks on the real members."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class InvariantError(Exception):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 def why_unstable(members: dict[int, SwimMember]) -> str:
-    """Why these members have not come to rest; empty if they have."""
+    """The reason why these members are not stable; empty if they are."""
     lives = {member.own.life for member in members.values()}
     for number, member in members.items():
         seen = set(member.table.up)
         if seen != lives - {member.own.life}:
             missing = sorted(lives - seen - {member.own.life})
-            ghosts = sorted(seen - lives)
-            return f"at rest n{number} misses {missing}, and sees {ghosts} for nothing"
+            ended = sorted(seen - lives)
+            return f"n{number} does not see running members {missing}, and sees ended ones {ended}"
         if member.table.count(Status.SUSPECT) or len(member._rumours):
             suspects = member.table.count(Status.SUSPECT)
             rumours = len(member._rumours)
-            return f"at rest n{number} still suspects {suspects}, and tells {rumours} rumours"
+            return f"n{number} still suspects {suspects} members, and has {rumours} claims to gossip"
     return ""
 
 
 def suspects_of(member: SwimMember) -> dict[int, Address]:
-    """The addresses of all members that this one suspects, by process id."""
+    """The addresses of all processes that this member suspects, by process id."""
     return {
         life.claim.life: (life.claim.host, life.claim.port) for life in member.table.standing(Status.SUSPECT)
     }
@@ -39,12 +39,15 @@
 def check_verdicts(
     number: int, suspects: dict[int, Address], member: SwimMember, out: Sequence[Action]
 ) -> None:
-    """No failure verdict on a suspect without last probes, unless another process answers at its address."""
+    """Check that no suspect is declared failed without final probes.
+
+    Exempt are suspects at whose address another process answers.
+    """
     for action in out:
         if isinstance(action, Tell) and action.event == "member.failed" and "probed" in action.more:
             life = int(action.more["life"], 16)
             if life in suspects and action.more["probed"] < CHECKS and not member.table.at(suspects[life]):
-                raise InvariantError(f"n{number} fails {life} without last probes")
+                raise InvariantError(f"n{number} declares {life} failed without final probes")
 
 
 def check_step(
@@ -54,17 +57,24 @@
     out: Sequence[Action],
     owned: dict[int, tuple[int, bool]],
 ) -> None:
-    """Check the invariants of one member after one step."""
+    """Check the invariants of a member after a step.
+
+    `owned` holds for each process the highest incarnation that it gave itself, and whether it has left.
+    """
     for life, known in before.table.lives.items():
         after = member.table.lives.get(life)
         if after is not None and after.claim.rank < known.claim.rank:
-            raise InvariantError(f"n{number} takes a claim on {life} back")
+            raise InvariantError(f"n{number} replaces a claim about {life} by an older one")
     for life, known in member.table.lives.items():
         highest, left = owned.get(life, (0, False))
         if known.claim.incarnation > highest:
-            raise InvariantError(f"n{number} knows an incarnation of {life} that this never gave itself")
+            raise InvariantError(
+                f"n{number} knows an incarnation of {life} that the process itself never used"
+            )
         if known.status is Status.LEFT and not left:
-            raise InvariantError(f"n{number} takes {life} for one that has left, and it has not said so")
+            raise InvariantError(
+                f"n{number} considers {life} to have left, but that process has not announced it"
+            )
     check_verdicts(number, suspects_of(before), member, out)
     if len(member._rumours) > len(member.table.lives) + 1:
-        raise InvariantError(f"n{number} tells more rumours than there are lives")
+        raise InvariantError(f"n{number} has more claims to gossip than there are processes")
--- a/cairnvane/testbed/simulation/model_checker.py
+++ b/cairnvane/testbed/simulation/model_checker.py
@@ -1,9 +1,9 @@
-"""`cairnvane lab explore`: small worlds of members explored exhaustively.
+"""`cairnvane lab explore`: exhaustive exploration of small clusters of members.
 
-Every order of messages, losses, duplicates, restarts and departures up to a depth is followed, with the real
-`SwimMember` and nothing left to chance. Each step is checked against the invariants; and from each last state
-the world goes on without faults, and has to come to rest: all running members see each other, nobody else is
-there, and no gossip is sent any more.
+Every order of messages, losses, duplicates, restarts and departures up to a depth is explored, with the real
+`SwimMember` and without randomness. The invariants are checked after each step. From each state at full depth
+the cluster continues without faults and must become stable: all running members see each other and no other
+process, and no more gossip is sent.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 from .world import World as World
 from .world_states import State
 
-# Methods of `World` that make the states from which paths begin.
+# Methods of `World` that create the initial states.
 BEGINNINGS = ("joined", "suspected", "cut", "restarted")
 
 
 @dataclass
 class Report:
-    """What was explored; the names are the keys of the JSON report."""
+    """Result of an exploration; field names are keys of the JSON report."""
 
     members: int
     depth: int
     mutant: str
-    states: dict[str, int] = field(default_factory=dict)  # by beginning
+    states: dict[str, int] = field(default_factory=dict)  # by initial state
     ends: dict[str, int] = field(default_factory=dict)
     cut_short: bool = False
     broken: str = ""
-    path: list[str] = field(default_factory=list)  # of the names of the steps that lead there
+    path: list[str] = field(default_factory=list)  # names of the steps that lead to the violation
 
     @property
     def good(self) -> bool:
-        """Whether all invariants held; with a mutant, whether one did not."""
+        """Whether all invariants held; with a mutant, whether one was violated."""
         return bool(self.broken) is bool(self.mutant)
 
     def as_json(self) -> dict[str, Any]:
@@ -49,25 +49,25 @@
         """The report for a terminal."""
         lines = [
             f"{self.members} members, {self.depth} steps from {name}: {count} states, "
-            f"{self.ends[name]} ends all came to rest"
+            f"all {self.ends[name]} final states became stable"
             for name, count in self.states.items()
         ]
         if self.broken:
             lines += [f"BROKEN: {self.broken}", *(f"  {step}" for step in self.path)]
         return [
             *lines,
-            *(["cut short: not all was seen"] if self.cut_short else []),
+            *(["cut short: some states were not explored"] if self.cut_short else []),
             "good" if self.good else "WRONG",
         ]
 
 
 class _WalkResult(NamedTuple):
-    """What one exploration found."""
+    """Result of exploring one share of the states."""
 
     states: int
     ends: int  # paths of full depth
     broken: str  # the violated invariant; empty if none
-    path: list[str]  # that leads to the violation
+    path: list[str]  # names of the steps that lead to the violation
     cut_short: bool  # there were more states than allowed
 
 
@@ -78,34 +78,34 @@
     depth: int,
     most: int,
 ) -> _WalkResult:
-    """Explore all paths from a state, `path` steps after the beginning, up to a depth."""
-    seen: dict[bytes, int] = {}  # by digest, the fewest steps that led to the state
+    """Explore all paths from a state up to a depth; `path` led to the state from the initial one."""
+    seen: dict[bytes, int] = {}  # by digest, the length of the shortest path to the state
     stack = [(begin, path)]
     ends = 0
-    current = path
+    current_path = path
     while stack:
-        state, current = stack.pop()
+        state, current_path = stack.pop()
         digest = state.digest
-        if seen.get(digest, depth + 1) <= len(current):
+        if seen.get(digest, depth + 1) <= len(current_path):
             continue
-        seen[digest] = len(current)
+        seen[digest] = len(current_path)
         if len(seen) > most:
             return _WalkResult(len(seen), ends, "", [], True)
         try:
-            if len(current) >= depth:
+            if len(current_path) >= depth:
                 ends += 1
                 world.at_rest(state)
                 continue
-            before = current
+            before = current_path
             for name, step in world.steps(state):
-                current = [*before, name]
-                stack.append((step(), current))
+                current_path = [*before, name]
+                stack.append((step(), current_path))
         except InvariantError as error:
-            return _WalkResult(len(seen), ends, str(error), current, False)
+            return _WalkResult(len(seen), ends, str(error), current_path, False)
     return _WalkResult(len(seen), ends, "", [], False)
 
 
-def _part(
+def _explore_share(
     members: int,
     begin: State,
     path: list[str],
@@ -113,15 +113,15 @@
     most: int,
     mutant: str,
 ) -> _WalkResult:
-    """One worker's share: explore from a state, to which the path led, with the mutant applied."""
+    """Explore one worker's share: all paths from a state, with the mutant applied."""
     with MUTANTS[mutant]() if mutant else contextlib.nullcontext():
         return _walk(World(members), begin, path, depth, most)
 
 
 def _shares(world: World, begin: State, depth: int) -> list[tuple[State, list[str]]]:
-    """All states after two steps, or fewer of a short path: a share for one worker each.
+    """All states after the first two steps (fewer if `depth` is small), as shares of work for the workers.
 
-    `InvariantError` carries the path as well if a step breaks an invariant.
+    If a step violates an invariant, the `InvariantError` also carries the path as its second argument.
     """
     shares = [(begin, list[str]())]
     for _ in range(min(2, depth - 1)):
@@ -136,7 +136,7 @@
     return shares
 
 
-# The most states of one worker's share.
+# Maximum number of states in one worker's share.
 MAX_STATES = 200_000
 
 
@@ -150,7 +150,7 @@
     workers: int | None = None,
     say: Callable[[str], None] = lambda line: None,
 ) -> Report:
-    """Explore all worlds of so many members and steps; `most`: states for one worker's share."""
+    """Explore all paths of `depth` steps; `most`: the maximum number of states in one worker's share."""
     report = Report(members, depth, mutant)
     world = World(members)
     with ProcessPoolExecutor(workers) as pool:
@@ -165,7 +165,8 @@
                 report.path = [f"from {beginning}", *error.args[1]]
                 break
             futures = [
-                pool.submit(_part, members, state, path, depth, most, mutant) for state, path in shares
+                pool.submit(_explore_share, members, state, path, depth, most, mutant)
+                for state, path in shares
             ]
             for future in futures:
                 result = future.result()
--- a/cairnvane/testbed/simulation/mutants.py
+++ b/cairnvane/testbed/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the membership protocol: each takes out one rule, which the model checker has to detect."""
+"""Mutants of the membership protocol: each disables one rule, which the model checker has to detect."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def _mutants() -> dict[str, Callable[[], Any]]:
-    def refute_as_before(self: SwimMember, claim: Claim) -> None:
+    def refute_without_new_incarnation(self: SwimMember, claim: Claim) -> None:
         if claim.status != Status.ALIVE:
             self._rumours.add(self.own)
 
-    def take_any(self: Table, claim: Claim, now: int) -> Any:
+    def accept_any_claim(self: Table, claim: Claim, now: int) -> Any:
         if (known := self.lives.get(claim.life)) is not None:
             self._withdraw(known)
             known.claim = claim
@@ -25,27 +25,31 @@
             return known
         return None
 
-    def keep_telling(self: Rumours, most: int, members: int, first: int | None = None) -> list[Claim]:
-        return [claim for some in self._levels for claim in some.values()][:most]
+    def pick_without_limit(self: Rumours, most: int, members: int, first: int | None = None) -> list[Claim]:
+        return [claim for level in self._levels for claim in level.values()][:most]
 
-    def suspect_higher(self: Claim, status: Status, incarnation: int, by: int) -> Claim:
+    def suspect_with_higher_incarnation(self: Claim, status: Status, incarnation: int, by: int) -> Claim:
         import msgspec
 
         return msgspec.structs.replace(self, status=int(status), incarnation=incarnation + 1, by=by)
 
-    def nobody(*args: object) -> None:
+    def do_nothing(*args: object) -> None:
         return None
 
     return {
-        "no-refutation": lambda: mock.patch.object(SwimMember, "_told_of_us", nobody),
-        "refutes-as-before": lambda: mock.patch.object(SwimMember, "_told_of_us", refute_as_before),
-        "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", nobody),
-        "any-claim-counts": lambda: mock.patch.object(Table, "take", take_any),
-        "others-raise-incarnations": lambda: mock.patch.object(Claim, "saying", suspect_higher),
-        "rumours-for-ever": lambda: mock.patch.object(Rumours, "pick", keep_telling),
+        "no-refutation": lambda: mock.patch.object(SwimMember, "_told_of_us", do_nothing),
+        "refutes-as-before": lambda: mock.patch.object(
+            SwimMember, "_told_of_us", refute_without_new_incarnation
+        ),
+        "no-second-look": lambda: mock.patch.object(SwimMember, "_revisit", do_nothing),
+        "any-claim-counts": lambda: mock.patch.object(Table, "take", accept_any_claim),
+        "others-raise-incarnations": lambda: mock.patch.object(
+            Claim, "saying", suspect_with_higher_incarnation
+        ),
+        "rumours-for-ever": lambda: mock.patch.object(Rumours, "pick", pick_without_limit),
         "no-last-probes": lambda: mock.patch.object(swim, "checks", lambda doubt, tries: 0),
     }
 
 
-# By name, what patches the rule out within a `with` statement.
+# By name, a function that returns a context manager, in which the rule is disabled.
 MUTANTS = _mutants()
--- a/cairnvane/testbed/simulation/virtual_cluster.py
+++ b/cairnvane/testbed/simulation/virtual_cluster.py
@@ -1,7 +1,7 @@
-"""Members in virtual time, and the links between them: real ones, or the baseline of a plain heartbeat.
+"""Members in virtual time and the links between them; members are real ones, or a heartbeat baseline.
 
-Links lose, delay and cut messages one way or both; members are killed, restarted, and stalled. One seed gives
-one history.
+Links lose and delay messages, or drop all of them in one or both directions. Members are killed, restarted
+and stalled. A run is determined by its seed.
 """
 
 from __future__ import annotations
@@ -27,33 +27,33 @@
 
 
 def _address_of(number: int) -> Address:
-    """Where this member listens; no port is 0."""
+    """The address of this member; ports begin at 1, since 0 is not valid."""
     return HOST, number + 1
 
 
 class Player(Protocol):
-    """One member, as the world uses it."""
+    """The interface of a member to the simulation."""
 
     life: int
 
     def next_at(self) -> int:
-        """When it wants its next tick."""
+        """The time of its next tick."""
 
     def tick(self, now: int) -> list[Action]:
-        """What it does at this moment."""
+        """Run its timers; return its actions."""
 
     def handle(self, now: int, life: int, number: int, source: Address, message: Message) -> list[Action]:
-        """What it does with a message of this member."""
+        """Handle a message of process `life`; return the resulting actions."""
 
     def failed(self, life: int) -> bool:
-        """Whether it holds that member for failed."""
+        """Whether it has declared that process failed."""
 
     def sees(self) -> set[int]:
-        """The other members that it holds for up."""
+        """The other processes that it considers alive."""
 
 
 class Swim:
-    """A real member."""
+    """A member that runs the real protocol."""
 
     def __init__(
         self,
@@ -68,71 +68,71 @@
         self.next_at, self.tick, self.handle = self.member.next_at, self.member.tick, self.member.handle
 
     def failed(self, life: int) -> bool:
-        """Whether it declares this process failed."""
+        """Whether it has declared this process failed."""
         known = self.member.table.lives.get(life)
         return known is not None and not known.there
 
     def sees(self) -> set[int]:
-        """The processes that it takes for alive."""
+        """The processes that it considers alive."""
         return {known.claim.life for known in self.member.there()}
 
 
 class Heartbeat:
-    """The baseline: a message to all each period; a member that is silent for some periods has failed.
+    """The baseline sends a message to all members each period; `PERIODS` silent periods mean failure.
 
-    It is given the list of members, so that only the detection is compared.
+    It is given the list of members, so that only failure detection is compared.
     """
 
     PERIODS = 5
 
     def __init__(self, own: Claim, period: int, now: int, peers: Callable[[], dict[int, Address]]) -> None:
         self.life, self._period, self._peers = own.life, period, peers
-        self._at = now + own.life * 7_919 % period
-        self._heard: dict[int, int] = {}
+        self._next_at = now + own.life * 7_919 % period
+        self._last_message_at: dict[int, int] = {}
 
     def next_at(self) -> int:
-        """When it wants its next tick."""
-        return self._at
+        """The time of its next tick."""
+        return self._next_at
 
     def tick(self, now: int) -> list[Action]:
-        """What it does at this moment."""
-        self._at = now + self._period
+        """Run its timers; return its actions."""
+        self._next_at = now + self._period
         for life in self._peers():
-            self._heard.setdefault(life, now)
+            self._last_message_at.setdefault(life, now)
         return [Send(at, Nack(1, self.life)) for life, at in self._peers().items() if life != self.life]
 
     def handle(self, now: int, life: int, number: int, source: Address, message: Message) -> list[Action]:
-        """What it does with a message of this member."""
-        self._heard[life] = now
+        """Handle a message of process `life`; return the resulting actions."""
+        self._last_message_at[life] = now
         return []
 
     def failed(self, life: int) -> bool:
-        """Whether it holds that member for failed."""
-        silent_since = self._heard.get(life, self._at)
-        return life != self.life and self._at - self._period - silent_since > self.PERIODS * self._period
+        """Whether it has declared that process failed."""
+        silent_since = self._last_message_at.get(life, self._next_at)
+        return life != self.life and self._next_at - self._period - silent_since > self.PERIODS * self._period
 
     def sees(self) -> set[int]:
-        """The other members that it holds for up."""
-        return {life for life in self._heard if life != self.life and not self.failed(life)}
+        """The other processes that it considers alive."""
+        return {life for life in self._last_message_at if life != self.life and not self.failed(life)}
 
 
 @dataclass
 class World:
-    """All members and the links between them. Times in microseconds."""
+    """All members and the links between them. Times are in microseconds."""
 
     seed: int
     loss: float = 0.0
     options: Options = field(default_factory=Options)
-    baseline: str = ""  # `heartbeat`
+    baseline: str = ""  # `heartbeat`, or empty for the real protocol
     now: int = 0
 
     def __post_init__(self) -> None:
         self.random = random.Random(f"{self.seed} world")
         self._agenda: list[tuple[int, int, Callable[[], None]]] = []
         self._count, self._lives = itertools.count(), itertools.count(1_000)
-        self.players: dict[int, Player] = {}  # by number
+        self.players: dict[int, Player] = {}  # by member number
         self.down: set[int] = set()
-        self.still: set[int] = set()  # stalled: they do nothing, and messages to them wait
+        self.still: set[int] = set()  # numbers of stalled members, for which messages are queued
         self._waiting: dict[int, list[Callable[[], None]]] = {}
         self._timers: dict[int, int] = {}
         self.cut: Callable[[int, int], bool] = lambda source, to: False
@@ -161,12 +161,12 @@
         return player
 
     def kill(self, number: int) -> int:
-        """Kill a member; the id of its process."""
+        """Kill a member, and return the id of its process."""
         self.down.add(number)
         return self.players[number].life
 
     def freeze(self, number: int, still: bool) -> None:
-        """Stall a member as by SIGSTOP, or end the stall: messages that came meanwhile are read then."""
+        """Stall a member as by SIGSTOP, or let it continue and read the messages queued in the meantime."""
         if still:
             self.still.add(number)
             return
@@ -176,11 +176,11 @@
         self._arm(number)
 
     def up(self) -> list[int]:
-        """Numbers of the members that run."""
+        """Numbers of the running members."""
         return [number for number in self.players if number not in self.down and number not in self.still]
 
     def agree(self, among: Sequence[int] | None = None) -> bool:
-        """Whether each of these members, or of all that run, sees all the others and nobody else."""
+        """Whether each of these members (by default all running ones) sees exactly the others."""
         numbers = self.up() if among is None else list(among)
         lives = {self.players[number].life for number in numbers}
         return all(self.players[number].sees() == lives - {self.players[number].life} for number in numbers)
@@ -202,21 +202,23 @@
         self._do(number, player.tick(self.now))
         self._arm(number)
 
-    def run(self, until: int, enough: Callable[[], bool] | None = None, look: int = 20_000) -> bool:
-        """Run until this time, or until there is `enough`, checked each `look`; whether there is."""
+    def run(
+        self, until: int, condition: Callable[[], bool] | None = None, check_interval_us: int = 20_000
+    ) -> bool:
+        """Run until this time, or until the condition holds at one of its checks; return whether it holds."""
         next_check_at = self.now
         while self._agenda and self._agenda[0][0] <= until:
             at, _, task = heapq.heappop(self._agenda)
-            if enough is not None and at >= next_check_at:
+            if condition is not None and at >= next_check_at:
                 self.now = max(self.now, next_check_at)
-                if enough():
+                if condition():
                     self._push(at, task)
                     return True
-                next_check_at = at + look
+                next_check_at = at + check_interval_us
             self.now = at
             task()
         self.now = until
-        return enough is None or enough()
+        return condition is None or condition()
 
     # --- links
 
@@ -227,7 +229,7 @@
             elif isinstance(action, Send):
                 self._send(number, action)
             elif isinstance(action, Exchange):
-                self._exchange(number, action.to[1] - 1)
+                self._exchange_views(number, action.to[1] - 1)
 
     def _count_message(self, life: int, message: Message) -> None:
         size = len(seal(KEY, life, next(self._count), message))
@@ -258,8 +260,8 @@
         self._do(number, self.players[number].handle(self.now, life, count, source, message))
         self._arm(number)
 
-    def _exchange(self, number: int, to: int) -> None:
-        """Exchange full views over TCP, if both directions are open: losses are retransmitted there."""
+    def _exchange_views(self, number: int, to: int) -> None:
+        """Exchange full views over TCP if both directions are open; TCP retransmits losses."""
         if (
             to in self.down
             or to in self.still
--- a/cairnvane/testbed/simulation/world.py
+++ b/cairnvane/testbed/simulation/world.py
@@ -1,4 +1,4 @@
-"""How one state of a small world of members leads to others, with the real `SwimMember`."""
+"""Transitions between the states of a small cluster, computed with the real `SwimMember`."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from .world_states import KEY, Envelope, FaultCounts, FixedRandom, State, address_of, load, number_at
 
 T = TypeVar("T")
-# Delay of a message that is neither lost nor explored.
-PASS_US = 1_000
-# Without faults a world comes to rest within this time, however it began; its gossip has ended by then.
-REST_US = 45_000_000
-# Interval at which the world is checked for rest.
-REST_CHECK_US = 250_000
-# How long the members of the beginning `cut` are partitioned.
+# Delay of each message while the cluster runs without exploration of message orders.
+MESSAGE_DELAY_US = 1_000
+# Without faults, members agree and their gossip has ended within this time, from any initial state.
+STABILIZATION_US = 45_000_000
+# Interval of the checks whether the members are stable.
+STABILITY_CHECK_US = 250_000
+# Duration of the partition that leads to the initial state `cut`.
 PARTITION_US = 15_000_000
 MAX_STEPS_TO_SUSPICION = 200
-# The most faults of each kind on a path.
+# Maximum number of faults of each kind on one path.
 MAX_LOSSES = 3
 MAX_DUPLICATES = 1
 MAX_RESTARTS = 1
@@ -35,7 +35,7 @@
 
 
 def _without_messages_of(state: State, number: int) -> State:
-    """The state in which all messages from and to this member are lost."""
+    """The state without the messages in flight from and to this member."""
     address = address_of(number)
     in_flight = tuple(
         envelope for envelope in state.in_flight if address not in (envelope.to, envelope.source)
@@ -44,12 +44,12 @@
 
 
 class World:
-    """The steps that lead from one state of so many members to others."""
+    """The transitions between states of a cluster with `members` members."""
 
     def __init__(self, members: int) -> None:
         self.count = members
 
-    # --- beginnings
+    # --- initial states
 
     def _new(self, number: int, life: int, now: int) -> SwimMember:
         claim = Claim(life, f"n{number}", f"p{number}", *address_of(number), 0, 0)
@@ -67,10 +67,10 @@
             (),
             owned=tuple((member.own.life, 0, False) for member in members),
         )
-        return self.rest(state, REST_US)
+        return self.rest(state, STABILIZATION_US)
 
     def restarted(self) -> State:
-        """The last member was killed and started again: its first messages are in flight."""
+        """The last member was killed and restarted, and its first messages are in flight."""
         state = self._restart(self.joined(), self.count - 1)
         state = replace(state, faults=FaultCounts())
         while not state.in_flight:
@@ -78,7 +78,7 @@
         return state
 
     def suspected(self) -> State:
-        """The first member suspects the second, and no other has heard of it yet."""
+        """The first member suspects the second, and the other members don't know of the suspicion yet."""
         state = self.joined()
         for _ in range(MAX_STEPS_TO_SUSPICION):
             if any(load(state.members[0]).table.standing(Status.SUSPECT)):
@@ -87,10 +87,10 @@
             state = _without_messages_of(state, 1)
             while state.in_flight:
                 state = _without_messages_of(self._deliver(state, 0), 1)
-        raise AssertionError("no suspicion")
+        raise AssertionError("no member was suspected")
 
     def cut(self) -> State:
-        """The first half was partitioned from the others until both sides declared each other failed."""
+        """The first half was partitioned from the others until each side declared the other failed."""
         state = self.joined()
         minority = {address_of(number) for number in range(self.count // 2)}
         ends_at = state.now + PARTITION_US
@@ -105,21 +105,21 @@
     # --- steps
 
     def _envelopes(self, member: SwimMember, sent: int, actions: Sequence[Action]) -> list[Envelope]:
-        """The messages that a member's actions send, numbered after the `sent` ones before."""
-        out: list[Envelope] = []
+        """The messages that a member's actions send; their numbers follow the `sent` earlier ones."""
+        envelopes: list[Envelope] = []
         source = member.own.host, member.own.port
         for action in actions:
             if isinstance(action, Tell):
                 continue
             messages: list[Message] = [action.message] if isinstance(action, Send) else [*member.whole(True)]
             for message in messages:
-                envelope = Envelope(action.to, member.own.life, sent + len(out) + 1, source, message)
+                envelope = Envelope(action.to, member.own.life, sent + len(envelopes) + 1, source, message)
                 if not isinstance(message, View):
                     size = len(seal(KEY, envelope.life, envelope.number, message))
                     if size > MOST_BYTES:
                         raise InvariantError(f"a datagram of {size} bytes")
-                out.append(envelope)
-        return out
+                envelopes.append(envelope)
+        return envelopes
 
     def _handle(
         self,
@@ -128,35 +128,35 @@
         envelope: Envelope,
         sent: int,
     ) -> tuple[list[Action], list[Envelope]]:
-        """The actions and messages of a member that receives one; a view that asks for one is answered."""
-        out = member.handle(now, envelope.life, envelope.number, envelope.source, envelope.message)
-        more = self._envelopes(member, sent, out)
+        """The actions and messages of a member that receives a message; a view may request one in return."""
+        actions = member.handle(now, envelope.life, envelope.number, envelope.source, envelope.message)
+        envelopes = self._envelopes(member, sent, actions)
         if isinstance(envelope.message, View) and envelope.message.answer:
-            more += [
-                Envelope(envelope.source, member.own.life, sent + len(more) + number, envelope.to, view)
+            envelopes += [
+                Envelope(envelope.source, member.own.life, sent + len(envelopes) + number, envelope.to, view)
                 for number, view in enumerate(member.whole(False), start=1)
             ]
-        return out, more
+        return actions, envelopes
 
     def _after(
         self,
         state: State,
         number: int,
         member: SwimMember,
-        out: Sequence[Action],
+        actions: Sequence[Action],
         envelopes: Sequence[Envelope],
     ) -> State:
-        """The state with this member as it is now, once its invariants are checked."""
+        """The state after this member's step; its invariants are checked."""
         before = load(state.members[number])
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
         highest, left = owned.get(member.own.life, (0, False))
         if member.own.incarnation < highest and member.own.status != Status.LEFT:
-            raise InvariantError(f"n{number} takes its own incarnation back")
+            raise InvariantError(f"n{number} lowers its own incarnation")
         owned[member.own.life] = (
             max(highest, member.own.incarnation),
             left or member.own.status == Status.LEFT,
         )
-        check_step(number, before, member, out, owned)
+        check_step(number, before, member, actions, owned)
         sent = state.sent[number] + len(envelopes)
         return replace(
             state,
@@ -170,12 +170,14 @@
         return [number for number in range(self.count) if number not in state.gone]
 
     def _tick(self, state: State) -> State:
-        """Let time pass until the next member has something to do."""
+        """Advance the time to the next timer of a member, and run it."""
         at, number = min((load(state.members[number]).next_at(), number) for number in self._running(state))
         state = replace(state, now=max(state.now, at))
         member = load(state.members[number])
-        out = member.tick(state.now)
-        return self._after(state, number, member, out, self._envelopes(member, state.sent[number], out))
+        actions = member.tick(state.now)
+        return self._after(
+            state, number, member, actions, self._envelopes(member, state.sent[number], actions)
+        )
 
     def _drop(self, state: State, position: int) -> State:
         return replace(state, in_flight=(*state.in_flight[:position], *state.in_flight[position + 1 :]))
@@ -187,8 +189,8 @@
         if number in state.gone or not 0 <= number < self.count:
             return left
         member = load(state.members[number])
-        out, envelopes = self._handle(member, state.now, envelope, state.sent[number])
-        return self._after(left, number, member, out, envelopes)
+        actions, envelopes = self._handle(member, state.now, envelope, state.sent[number])
+        return self._after(left, number, member, actions, envelopes)
 
     def _restart(self, state: State, number: int) -> State:
         life = max(life for life, _, _ in state.owned) + 100
@@ -204,14 +206,14 @@
 
     def _leave(self, state: State, number: int) -> State:
         member = load(state.members[number])
-        out = member.leave(state.now)
-        envelopes = self._envelopes(member, state.sent[number], out)
-        after = self._after(state, number, member, out, envelopes)
+        actions = member.leave(state.now)
+        envelopes = self._envelopes(member, state.sent[number], actions)
+        after = self._after(state, number, member, actions, envelopes)
         faults = replace(state.faults, leaves=state.faults.leaves + 1)
         return replace(after, faults=faults, gone=state.gone | {number})
 
     def steps(self, state: State) -> Iterator[tuple[str, Callable[[], State]]]:
-        """All steps that may happen next, with their names."""
+        """All possible next steps, with their names."""
         faults = state.faults
         seen = set()
         for position, envelope in enumerate(state.in_flight):
@@ -230,11 +232,11 @@
                     ),
                 )
             if faults.duplicates < MAX_DUPLICATES:
-                more = replace(faults, duplicates=faults.duplicates + 1)
+                duplicated = replace(faults, duplicates=faults.duplicates + 1)
                 yield (
                     f"double {name}",
-                    lambda position=position, more=more: replace(  # type: ignore[misc]
-                        self._deliver(state, position, keep=True), faults=more
+                    lambda position=position, duplicated=duplicated: replace(  # type: ignore[misc]
+                        self._deliver(state, position, keep=True), faults=duplicated
                     ),
                 )
         yield "time", lambda: self._tick(state)
@@ -244,16 +246,17 @@
             if faults.leaves < MAX_LEAVES:
                 yield f"leave {number}", lambda number=number: self._leave(state, number)  # type: ignore[misc]
 
-    # --- the end
+    # --- final states
 
-    def rest(self, state: State, within: int, enough: bool = False) -> State:
-        """Go on without faults for `within` microseconds; each message arrives after `PASS_US`, in order.
+    def rest(self, state: State, within: int, stop_when_stable: bool = False) -> State:
+        """Continue without faults for `within` microseconds.
 
-        With `enough`, stop as soon as all members have come to rest.
+        Messages arrive in order, each after `MESSAGE_DELAY_US`. With `stop_when_stable`, stop as soon as all
+        members are stable.
         """
-        check_at = state.now + REST_CHECK_US
+        check_at = state.now + STABILITY_CHECK_US
         ends_at = state.now + within
-        due = [(state.now + PASS_US, envelope) for envelope in state.in_flight]
+        due = [(state.now + MESSAGE_DELAY_US, envelope) for envelope in state.in_flight]
         members = {number: load(state.members[number]) for number in self._running(state)}
         now = state.now
         sent = list(state.sent)
@@ -267,17 +270,17 @@
                     continue
                 _, envelopes = self._handle(members[number], now, envelope, sent[number])
             else:
-                if at > ends_at or (enough and at > check_at and not why_unstable(members)):
+                if at > ends_at or (stop_when_stable and at > check_at and not why_unstable(members)):
                     break
-                check_at = max(check_at, at - at % REST_CHECK_US + REST_CHECK_US)
+                check_at = max(check_at, at - at % STABILITY_CHECK_US + STABILITY_CHECK_US)
                 now = max(now, at)
                 member = members[number]
                 suspects = suspects_of(member)
-                out = member.tick(now)
-                check_verdicts(number, suspects, member, out)
-                envelopes = self._envelopes(member, sent[number], out)
+                actions = member.tick(now)
+                check_verdicts(number, suspects, member, actions)
+                envelopes = self._envelopes(member, sent[number], actions)
             sent[number] += len(envelopes)
-            due += [(now + PASS_US, envelope) for envelope in envelopes]
+            due += [(now + MESSAGE_DELAY_US, envelope) for envelope in envelopes]
         owned = {life: (incarnation, left) for life, incarnation, left in state.owned}
         for member in members.values():
             highest, left = owned.get(member.own.life, (0, False))
@@ -295,10 +298,10 @@
         )
 
     def at_rest(self, state: State) -> None:
-        """Raise `InvariantError` if the members do not come to rest without further faults."""
+        """Raise `InvariantError` if the members don't become stable without further faults."""
         members = {
             number: load(data)
-            for number, data in enumerate(self.rest(state, REST_US, True).members)
+            for number, data in enumerate(self.rest(state, STABILIZATION_US, True).members)
             if number not in state.gone
         }
         if reason := why_unstable(members):
--- a/cairnvane/testbed/simulation/world_states.py
+++ b/cairnvane/testbed/simulation/world_states.py
@@ -1,7 +1,7 @@
-"""States of a small world of members: the members as bytes, messages in flight, and faults so far.
+"""States of a small cluster: the members, the messages in flight, and the faults so far.
 
-A state holds each member as bytes, so that a step copies only the member that it changes, and two orders of
-events that lead to the same state are followed once.
+A state holds each member as pickled bytes, so that a step copies only the member that it changes, and equal
+states reached by different orders of events are recognized and explored once.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 
 
 class FixedRandom(random.Random):
-    """A random generator that always draws the same, so that two paths may lead to the same state."""
+    """A random generator with constant results, so that different paths can lead to the same state."""
 
     def random(self) -> float:
-        """One half."""
+        """Always 0.5."""
         return 0.5
 
     def uniform(self, a: float, b: float) -> float:
-        """The middle of the range."""
+        """Always the middle of the range."""
         return (a + b) / 2
 
     def shuffle(self, x: Any) -> None:
         """Leave the order as it is."""
 
     def choice(self, seq: Any) -> Any:
-        """The first one."""
+        """Always the first item."""
         return seq[0]
 
     def sample(self, population: Any, k: int, *, counts: Any = None) -> list[Any]:
-        """The first ones."""
+        """Always the first `k` items."""
         return list(population)[:k]
 
     def randint(self, a: int, b: int) -> int:
-        """The least one."""
+        """Always the lower bound."""
         return a
 
     def __reduce__(self) -> tuple[Any, ...]:
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class FaultCounts:
-    """Faults on the path to a state."""
+    """Numbers of faults on the path to a state."""
 
     losses: int = 0
     duplicates: int = 0
@@ -72,16 +72,16 @@
 
 @dataclass(frozen=True)
 class State:
-    """A state of the whole world."""
+    """A state of the whole cluster."""
 
     now: int
     members: tuple[bytes, ...]
-    sent: tuple[int, ...]  # number of messages of each member's current incarnation
+    sent: tuple[int, ...]  # number of messages sent by each member's current process
     in_flight: tuple[Envelope, ...]
     faults: FaultCounts = FaultCounts()
-    # Of each process so far: its id, its highest own incarnation number, and whether it announced to leave.
+    # For each process so far: its id, its own highest incarnation number, and whether it has left.
     owned: tuple[tuple[int, int, bool], ...] = ()
-    gone: frozenset[int] = frozenset()  # numbers of members that left, and run no more
+    gone: frozenset[int] = frozenset()  # numbers of the members that have left and ended
 
     @property
     def digest(self) -> bytes:
@@ -100,7 +100,7 @@
 
 
 def address_of(number: int) -> Address:
-    """Where the member with this number listens; no port is 0."""
+    """The address of the member with this number; ports begin at 1, since 0 is not valid."""
     return HOST, number + 1
 
 
@@ -110,6 +110,6 @@
 
 
 def load(data: bytes) -> SwimMember:
-    """A member out of a state."""
+    """Restore a member from its bytes in a state."""
     member: SwimMember = pickle.loads(data)
     return member
