--- a/benchmarks/door_cost.py
+++ b/benchmarks/door_cost.py
@@ -23,19 +23,19 @@
 
 
 def counting_cost_us(rounds: int, counters: RequestCounters | None) -> float:
-    """Microseconds a request that the server spends on the counters; None: without counters."""
+    """Microseconds per request that the server spends on the counters; None: without counters."""
     start = time.perf_counter()
     for number in range(rounds):
-        lane = CLASSES[number % 3]
+        class_name = CLASSES[number % 3]
         if counters is not None:
             counters.request_accepted()
-            counters.run_started(lane)
-            counters.response_sent(lane, ResponseStatus.SERVED)
+            counters.run_started(class_name)
+            counters.response_sent(class_name, ResponseStatus.SERVED)
     return (time.perf_counter() - start) / rounds * 1e6
 
 
 def request_metrics(address: tuple[str, int], count: int) -> tuple[list[float], int]:
-    """Milliseconds from connect to the whole response of /-/metrics, and how many were not 200."""
+    """Milliseconds from connecting to the end of each /-/metrics response, and the number of failures."""
     durations_ms = []
     failures = 0
     for _ in range(count):
@@ -48,13 +48,20 @@
 
 
 def main() -> None:
-    """Measure both, in one run."""
-    plain = counting_cost_us(ROUNDS, None)
-    counted = counting_cost_us(ROUNDS, RequestCounters(CLASSES))
+    """Measure the cost of the counters and the response times, in one run."""
+    without_counters_us = counting_cost_us(ROUNDS, None)
+    with_counters_us = counting_cost_us(ROUNDS, RequestCounters(CLASSES))
     table.show(
-        "Counting on the serving path, µs a request",
-        ("door", "µs", "beside off"),
-        [("off", plain, 1.0), ("on", counted, counted / plain if plain else float("inf"))],
+        "Counting on the serving path, µs per request",
+        ("counters", "µs", "relative to off"),
+        [
+            ("off", without_counters_us, 1.0),
+            (
+                "on",
+                with_counters_us,
+                with_counters_us / without_counters_us if without_counters_us else float("inf"),
+            ),
+        ],
     )
     readiness = Readiness(lambda: True)
     counters = RequestCounters(CLASSES)
@@ -65,30 +72,30 @@
     silent = [socket.create_connection(server.address) for _ in range(SILENT_CLIENTS)]
     stop = threading.Event()
 
-    def keep_silent() -> None:  # each closed at its deadline comes back at once
+    def reconnect_silent_clients() -> None:  # at once when the server closes a connection at its deadline
         while not stop.is_set():
-            for at, sock in enumerate(silent):
+            for index, sock in enumerate(silent):
                 sock.setblocking(False)
                 try:
                     if sock.recv(1) == b"":
-                        silent[at] = socket.create_connection(server.address)
+                        silent[index] = socket.create_connection(server.address)
                 except BlockingIOError:
                     pass
             stop.wait(0.005)
 
-    thread = threading.Thread(target=keep_silent, daemon=True)
+    thread = threading.Thread(target=reconnect_silent_clients, daemon=True)
     thread.start()
     disturbed = request_metrics(server.address, CALLS)
     stop.set()
     thread.join()
     for name, (durations_ms, failures) in (
-        ("no other callers", undisturbed),
-        (f"{SILENT_CLIENTS} callers saying nothing", disturbed),
+        ("no other clients", undisturbed),
+        (f"{SILENT_CLIENTS} silent clients", disturbed),
     ):
         durations_ms.sort()
         percentile_99 = durations_ms[int(len(durations_ms) * 0.99)]
         rows.append((name, statistics.median(durations_ms), percentile_99, durations_ms[-1], failures))
-    table.show("/-/metrics, ms from connect to answer", ("beside", "median", "99th", "most", "not 200"), rows)
+    table.show("/-/metrics, ms from connect to response", ("load", "median", "99th", "max", "not 200"), rows)
     server.close()
 
 
--- a/benchmarks/fleet_choice.py
+++ b/benchmarks/fleet_choice.py
@@ -16,21 +16,21 @@
 
 
 class Scan:
-    """A list that is scanned for each choice: the endpoint with the fewest calls for its weight."""
+    """A list scanned for each choice, for the endpoint with the fewest calls relative to its weight."""
 
     def __init__(self, weights: list[int]) -> None:
         self.weights = weights
         self.active = [0] * len(weights)
 
     def choose(self) -> int:
-        return min(range(len(self.weights)), key=lambda at: (self.active[at] + 1) / self.weights[at])
+        return min(range(len(self.weights)), key=lambda index: (self.active[index] + 1) / self.weights[index])
 
-    def change(self, at: int, weight: int) -> None:
-        self.weights[at] = weight
+    def change(self, index: int, weight: int) -> None:
+        self.weights[index] = weight
 
 
 class Sums:
-    """A list of cumulative sums, found by bisection; rebuilt for each change."""
+    """A list of cumulative weights, searched by bisection and rebuilt for each change."""
 
     def __init__(self, weights: list[int]) -> None:
         self.weights = weights
@@ -45,31 +45,31 @@
         ) * self.weights[second]
         return second if second_is_better else first
 
-    def change(self, at: int, weight: int) -> None:
-        self.weights[at] = weight
+    def change(self, index: int, weight: int) -> None:
+        self.weights[index] = weight
         self.sums = list(itertools.accumulate(self.weights))
 
 
 class Tree:
-    """The structure that the server uses."""
+    """The sum tree that the server uses."""
 
     def __init__(self, weights: list[int]) -> None:
         self.tree: Weighted[int] = Weighted()
-        for at, weight in enumerate(weights):
-            self.tree.put(at, weight)
+        for index, weight in enumerate(weights):
+            self.tree.put(index, weight)
         self.random = random.Random(1).randrange
 
     def choose(self) -> int | None:
         return self.tree.choose(self.random)
 
-    def change(self, at: int, weight: int) -> None:
-        self.tree.put(at, weight)
+    def change(self, index: int, weight: int) -> None:
+        self.tree.put(index, weight)
 
 
-def mean_duration_s(task: Callable[[], object], most_s: float = 0.4) -> float:
-    """Mean seconds of one task."""
+def mean_duration_s(task: Callable[[], object], max_duration_s: float = 0.4) -> float:
+    """Mean seconds per execution of the task, repeated for `max_duration_s`."""
     count, start = 0, time.perf_counter()
-    while time.perf_counter() - start < most_s:
+    while time.perf_counter() - start < max_duration_s:
         task()
         count += 1
     return (time.perf_counter() - start) / count
@@ -79,17 +79,17 @@
     """Measure all structures at all sizes, in one run."""
     rows = []
     for size in SIZES:
-        weights = [random.Random(at).randrange(1, 100) for at in range(size)]
-        for kind, name in ((Scan, "list, all looked at"), (Sums, "running sums"), (Tree, "tree of sums")):
+        weights = [random.Random(index).randrange(1, 100) for index in range(size)]
+        for kind, name in ((Scan, "list, full scan"), (Sums, "cumulative sums"), (Tree, "sum tree")):
             start = time.perf_counter()
             chooser = kind(list(weights))
-            built = time.perf_counter() - start
+            build_s = time.perf_counter() - start
             number = itertools.count()
-            choice = mean_duration_s(chooser.choose)
+            choice_s = mean_duration_s(chooser.choose)
             change = mean_duration_s(
                 lambda chooser=chooser, number=number, size=size: chooser.change(next(number) % size, 7)
             )
-            rows.append([size, name, built * 1e3, int(1 / choice), change * 1e6])
+            rows.append([size, name, build_s * 1e3, int(1 / choice_s), change * 1e6])
     table.show("Choices", ["endpoints", "structure", "build ms", "choices/s", "change µs"], rows)
 
 
--- a/benchmarks/keyed_append.py
+++ b/benchmarks/keyed_append.py
@@ -1,4 +1,4 @@
-"""Appends to the segment log by group size: rate and duration, compared with SQLite and LMDB."""
+"""Append rate and duration of the segment log by group size, compared with SQLite and LMDB."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     for power in (False, True):
         for group in GROUP_SIZES:
             for kind in rivals.KINDS:
-                times = HdrHistogram(1, 60_000_000_000, 3)
+                histogram_ns = HdrHistogram(1, 60_000_000_000, 3)
                 with (
                     tempfile.TemporaryDirectory(dir=Path(__file__).parent) as folder,
                     rivals.opened(kind, Path(folder), power) as store,
@@ -32,13 +32,15 @@
                     start = time.perf_counter()
                     while time.perf_counter() - start < DURATION_S:
                         batch = [(rng.randbytes(16), 1, result) for _ in range(group)]
-                        began = time.perf_counter_ns()
+                        group_start_ns = time.perf_counter_ns()
                         store.append(batch)
-                        times.record_value(time.perf_counter_ns() - began)
-                percentiles_us = [times.get_value_at_percentile(percentile) / 1e3 for percentile in (50, 99)]
-                rate = int(group * 1e9 / times.get_mean_value())
+                        histogram_ns.record_value(time.perf_counter_ns() - group_start_ns)
+                percentiles_us = [
+                    histogram_ns.get_value_at_percentile(percentile) / 1e3 for percentile in (50, 99)
+                ]
+                rate = int(group * 1e9 / histogram_ns.get_mean_value())
                 rows.append(["power" if power else "process", group, kind, rate, *percentiles_us])
-    head = ["durability", "group", "store", "records/s", "p50 µs a group", "p99 µs a group"]
+    head = ["durability", "group", "store", "records/s", "p50 µs per group", "p99 µs per group"]
     table.show("Appends", head, rows)
 
 
--- a/benchmarks/keyed_index.py
+++ b/benchmarks/keyed_index.py
@@ -1,4 +1,4 @@
-"""The index of idempotency keys compared with a dict of dataclasses: bytes an entry, time an operation."""
+"""The index of idempotency keys compared with a dict of dataclasses: bytes per entry, time per operation."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True)
 class Entry:
-    """What the baseline keeps for a key."""
+    """An entry of the baseline."""
 
-    place: int
+    location: int
     until: int
 
 
 class Plain:
-    """The baseline: a dict, and a queue of keys in the order in which they expire."""
+    """The baseline: a dict, and a queue of keys in order of expiry."""
 
     def __init__(self) -> None:
         self.entries: dict[bytes, Entry] = {}
         self.order: deque[bytes] = deque()
 
-    def put(self, token: bytes, place: int, until: int) -> bool:
-        self.entries[token] = Entry(place, until)
+    def put(self, token: bytes, location: int, until: int) -> bool:
+        self.entries[token] = Entry(location, until)
         self.order.append(token)
         return True
 
@@ -50,9 +50,9 @@
 
 
 def measure(kind: str, size: int) -> dict[str, float]:
-    """Measure one index with `size` entries; keys are generated as needed and not kept here."""
+    """Measure one index with `size` entries; keys are generated in chunks, so that they use little memory."""
     rng = random.Random(1)
-    base = table.resident()
+    resident_before = table.resident()
     index: Index | Plain = Index(size * BYTES_PER_ENTRY) if kind == "index" else Plain()
     spent = {"put": 0.0, "hit": 0.0, "miss": 0.0, "expire": 0.0}
 
@@ -70,19 +70,19 @@
             ],
         )
     del tokens
-    used_bytes = table.resident() - base
+    used_bytes = table.resident() - resident_before
     rng = random.Random(1)
-    present = [rng.randbytes(16) for _ in range(CHUNK)]
-    absent = [random.Random(2).randbytes(16) for _ in range(CHUNK)]
-    timed("hit", lambda: [index.get(token) for token in present])
-    timed("miss", lambda: [index.get(token) for token in absent])
+    stored_keys = [rng.randbytes(16) for _ in range(CHUNK)]
+    unknown_keys = [random.Random(2).randbytes(16) for _ in range(CHUNK)]
+    timed("hit", lambda: [index.get(token) for token in stored_keys])
+    timed("miss", lambda: [index.get(token) for token in unknown_keys])
     timed("expire", lambda: [index.expire(WINDOW_US + n * 1_000) for n in range(CHUNK)])
     counts = {"put": size, "hit": CHUNK, "miss": CHUNK, "expire": CHUNK}
     return {"bytes": used_bytes / size} | {name: spent[name] / counts[name] * 1e6 for name in spent}
 
 
 def main() -> None:
-    """Measure both at all sizes, each in a process of its own."""
+    """Measure both at all sizes, each in a separate process."""
     rows = []
     for size in SIZES:
         for kind, name in (("index", "ring and buckets"), ("plain", "dict of dataclasses")):
@@ -90,7 +90,7 @@
             rows.append(
                 [size, name, result["bytes"], result["put"], result["hit"], result["miss"], result["expire"]]
             )
-    head = ["entries", "structure", "bytes an entry", "put µs", "hit µs", "miss µs", "age out µs"]
+    head = ["entries", "structure", "bytes per entry", "put µs", "hit µs", "miss µs", "expire µs"]
     table.show("The index", head, rows)
 
 
--- a/benchmarks/keyed_recovery.py
+++ b/benchmarks/keyed_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery time and peak memory, compared with SQLite and LMDB with and without reading their keys."""
+"""Recovery time and peak memory, compared with SQLite and LMDB, with and without loading their keys."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def fill(kind: str, folder: Path, size: int) -> None:
-    """Write so many entries."""
+    """Write `size` entries."""
     rng = random.Random(1)
     result = rng.randbytes(RESULT_BYTES)
     until = time.monotonic_ns() // 1_000 + 100 * rivals.WINDOW_US
@@ -30,19 +30,19 @@
 
 
 def recover(kind: str, folder: Path, size: int, load: bool) -> dict[str, float]:
-    """Open a store until it can tell whether a key is known."""
-    base = table.resident()
+    """Measure the time and memory until a store can look up keys."""
+    resident_before = table.resident()
     start = time.perf_counter()
     with rivals.opened(kind, folder, False, size + 1_000) as store:
         if load and not isinstance(store, rivals.Own):
             assert store.load() == size
         duration_s = time.perf_counter() - start
         assert not isinstance(store, rivals.Own) or store.open == size
-        return {"s": duration_s, "mb": (table.peak() - base) / 1e6}
+        return {"s": duration_s, "mb": (table.peak() - resident_before) / 1e6}
 
 
 def main() -> None:
-    """Measure all stores at all sizes, each recovery in a process of its own."""
+    """Measure all stores at all sizes, each recovery in a separate process."""
     rows = []
     for size in SIZES:
         for kind in rivals.KINDS:
@@ -52,7 +52,7 @@
                     result = table.child(__file__, kind, folder, size, int(load))
                     name = kind if load else f"{kind}, opened only"
                     rows.append([size, name, result["s"], result["mb"]])
-    table.show("Recovery", ["entries", "store", "s", "MB more at the peak"], rows)
+    table.show("Recovery", ["entries", "store", "s", "peak memory increase, MB"], rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/keyed_server.py
+++ b/benchmarks/keyed_server.py
@@ -1,4 +1,4 @@
-"""The real program, storing results in SQLite if BENCH_STORE says so; run by `keyed_latency.py`."""
+"""The real program; stores results in SQLite if BENCH_STORE=sqlite; run by `keyed_latency.py`."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SqliteStore(cairnvane.idempotency.durable.DurableStore):
-    """A store with the same writer and queue, in which each group is a transaction."""
+    """A store with the same writer and queue that writes each group in one SQLite transaction."""
 
     def _recover(self, waited: bool) -> None:
         path = self._files._folder / "keyed.sqlite"  # type: ignore[attr-defined]
@@ -37,7 +37,7 @@
 
 
 if __name__ == "__main__":
-    # As it is deployed, a server's threads share one core: spread over several, each wakes with cold caches.
+    # Run all threads on one core as in deployment; spread over several cores, threads wake with cold caches.
     os.sched_setaffinity(0, {max(os.sched_getaffinity(0))})
     if os.environ.get("BENCH_STORE") == "sqlite":
         cairnvane.idempotency.durable.DurableStore = SqliteStore  # type: ignore[misc]
--- a/benchmarks/members_real.py
+++ b/benchmarks/members_real.py
@@ -1,7 +1,7 @@
 """Twelve real processes that are members of one cluster: detection time of a kill, and CPU cost.
 
-Times are those at which this process reads the servers' log lines; CPU is that of each process, from /proc,
-compared with the same processes without membership.
+Detection times are taken when this process reads the servers' log lines. CPU usage of each process is read
+from /proc, and compared with that of the same processes without membership.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 MEMBERS = int(os.environ.get("BENCH_MEMBERS", "12"))
 KILLS = int(os.environ.get("BENCH_KILLS", "20"))
-# All have to detect a kill, and a restart, within this time.
+# Time limit for all members to detect a kill or a restart.
 DETECTION_TIMEOUT_S = 20
 IDLE_S = float(os.environ.get("BENCH_SECONDS", "20"))
 
@@ -72,69 +72,82 @@
 
 
 def has_event(line: str, event: str, member: str | None = None) -> bool:
-    """Whether a log line is this event of this member, or of any."""
+    """Whether a log line reports this event of this member (None: of any member)."""
     found = read_member_event(line)
     return found is not None and found.event == event and member in (None, found.member)
 
 
-def all_logged(lives: list[server_process.Life], but: int, event: str, since: list[int]) -> bool:
+def all_logged(lives: list[server_process.Life], subject: int, event: str, first_lines: list[int]) -> bool:
     return all(
-        any(has_event(line, event, f"n{but}") for line in life.lines[since[number] :])
+        any(has_event(line, event, f"n{subject}") for line in life.lines[first_lines[number] :])
         for number, life in enumerate(lives)
-        if number != but
+        if number != subject
     )
 
 
 def cpu_usage(lives: list[server_process.Life]) -> list[float]:
     before = [cpu_s(life.process.pid) for life in lives]
     time.sleep(IDLE_S)
-    return [(cpu_s(life.process.pid) - was) / IDLE_S for life, was in zip(lives, before, strict=True)]
+    return [
+        (cpu_s(life.process.pid) - cpu_before) / IDLE_S
+        for life, cpu_before in zip(lives, before, strict=True)
+    ]
 
 
 def main() -> None:
     """Measure without membership, then with it, and kill members one after the other."""
     with tempfile.TemporaryDirectory() as folder:
-        _, plain = start(Path(folder), False, free_ports())
-        off = cpu_usage(plain)
-        for life in plain:
+        _, without_membership = start(Path(folder), False, free_ports())
+        off = cpu_usage(without_membership)
+        for life in without_membership:
             life.kill()
         sites, lives = start(Path(folder), True, free_ports())
         time.sleep(5)
         on = cpu_usage(lives)
-        alarms = sum(has_event(line, "suspected") for life in lives for line in life.lines)
-        took = []
+        suspicions = sum(has_event(line, "suspected") for life in lives for line in life.lines)
+        detection_ms = []
         for kill in range(KILLS):
-            which = 2 + kill % (MEMBERS - 2)
-            since = [len(life.lines) for life in lives]
-            lives[which].kill()
-            at = time.monotonic()
+            killed = 2 + kill % (MEMBERS - 2)
+            first_lines = [len(life.lines) for life in lives]
+            lives[killed].kill()
+            started_at = time.monotonic()
             while (
-                not all_logged(lives, which, "failed", since) and time.monotonic() < at + DETECTION_TIMEOUT_S
+                not all_logged(lives, killed, "failed", first_lines)
+                and time.monotonic() < started_at + DETECTION_TIMEOUT_S
             ):
                 time.sleep(0.01)
-            took.append((time.monotonic() - at) * 1e3)
-            since = [len(life.lines) for life in lives]
-            lives[which] = server_process.start(sites[which])
-            assert lives[which].listens()
-            at = time.monotonic()
+            detection_ms.append((time.monotonic() - started_at) * 1e3)
+            first_lines = [len(life.lines) for life in lives]
+            lives[killed] = server_process.start(sites[killed])
+            assert lives[killed].listens()
+            started_at = time.monotonic()
             while (
-                not all_logged(lives, which, "alive", since) and time.monotonic() < at + DETECTION_TIMEOUT_S
+                not all_logged(lives, killed, "alive", first_lines)
+                and time.monotonic() < started_at + DETECTION_TIMEOUT_S
             ):
                 time.sleep(0.01)
             time.sleep(2)
         for life in lives:
             life.kill()
-    took.sort()
+    detection_ms.sort()
     table.show(
         f"{MEMBERS} processes, {KILLS} kills",
         [
-            "known to all, ms: median",
+            "detected by all, ms: median",
             "worst",
             "suspicions before the kills",
             "CPU of a core, off",
             "on",
         ],
-        [[statistics.median(took), took[-1], alarms, statistics.median(off), statistics.median(on)]],
+        [
+            [
+                statistics.median(detection_ms),
+                detection_ms[-1],
+                suspicions,
+                statistics.median(off),
+                statistics.median(on),
+            ]
+        ],
     )
 
 
--- a/benchmarks/members_rumours.py
+++ b/benchmarks/members_rumours.py
@@ -1,7 +1,7 @@
-"""Selecting the gossip of the next datagram: by levels, compared with a search of everything that waits.
+"""Selecting the gossip of the next datagram by levels, compared with a search of all waiting claims.
 
-A level holds the claims that were sent equally often. Reported are microseconds a selection of six claims, by
-the number of waiting claims.
+A level holds the claims that were sent equally often. The table shows microseconds per selection of six
+claims, by the number of waiting claims.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Plain:
-    """The baseline: one table, whose least often sent claims are searched for each datagram."""
+    """The baseline: one table that is searched for the least often sent claims for each datagram."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, tuple[int, int, Claim]] = {}
@@ -43,7 +43,7 @@
 
 
 def cost_us(kind: type[Plain] | type[Rumours], waiting: int) -> float:
-    """Microseconds a selection."""
+    """Microseconds per selection."""
     rumours = kind()
     claims = [Claim(life, "n", "p", "10.0.0.1", 1, 0, 0) for life in range(1, waiting + 1)]
     for claim in claims:
@@ -60,7 +60,7 @@
     rows = [
         [float(waiting), cost_us(Plain, waiting), cost_us(Rumours, waiting)] for waiting in (1, 8, 64, 512)
     ]
-    table.show("a pick and an add", ["waiting", "plain, us", "levels, us"], rows)
+    table.show("One selection and one insertion", ["waiting", "plain, us", "levels, us"], rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -1,7 +1,7 @@
-"""CPU time of a request of one server, in a closed loop: commits alone, and each with a number of retries.
+"""CPU time per request of one server under a closed-loop load of commits with different numbers of retries.
 
 `request_cost.py [CHECKOUT...]`: this tree and further checkouts (`git worktree add`) take turns within one
-run, since a machine's speed drifts by more than they differ. `TMPDIR` says on what disk.
+run, since a machine's speed drifts by more than the checkouts differ. `TMPDIR` selects the disk.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 class Cost(NamedTuple):
     """Result of one measurement."""
 
-    cpu_us: float  # a request
+    cpu_us: float  # per request
     requests_a_second: float
     not_served: int
 
 
 def measure(checkout: Path, pool: str, retries: int, seconds: float) -> Cost:
-    """Run one process of that checkout's program under load."""
+    """Run one server of a checkout under load."""
     vault, roster = StandInVault(), StandInRoster()
     with tempfile.TemporaryDirectory() as folder:
         site = server_process.Site(Path(folder), pool, vault.address, roster.address, SETTINGS)
@@ -90,17 +90,17 @@
             thread.start()
         for thread in threads:
             thread.join()
-        used_s = cpu_s(process.pid) - cpu_before
+        cpu_used_s = cpu_s(process.pid) - cpu_before
         duration_s = time.monotonic() - start
         balancer.close()
         server.kill()
     vault.close()
     roster.close()
-    return Cost(used_s / requests * 1e6, requests / duration_s, not_served)
+    return Cost(cpu_used_s / requests * 1e6, requests / duration_s, not_served)
 
 
 def main() -> None:
-    """Measure all checkouts in turns, several rounds each."""
+    """Measure all checkouts in turn, for several rounds."""
     seconds, rounds = float(os.environ.get("BENCH_SECONDS", "4")), int(os.environ.get("BENCH_ROUNDS", "3"))
     checkouts = [HERE.parent, *map(Path, sys.argv[1:])]
     pool = subprocess.Popen(
@@ -124,11 +124,11 @@
             not_served = sum(cost.not_served for costs_of in by_retries for cost in costs_of)
             rows.append([checkout.name, *medians, spread, not_served])
         table.show(
-            "CPU, µs a request",
+            "CPU, µs per request",
             [
                 "checkout",
-                *(f"{retries} repeats" for retries in RETRIES),
-                "each run of the last",
+                *(f"{retries} retries" for retries in RETRIES),
+                "each run with the most retries",
                 "not served",
             ],
             rows,
--- a/benchmarks/rivals.py
+++ b/benchmarks/rivals.py
@@ -1,4 +1,4 @@
-"""Stores for the same entries: the segment log, SQLite with a write-ahead log, and LMDB."""
+"""The compared stores, with a common interface: the segment log, SQLite with a write-ahead log, and LMDB."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 Row = tuple[bytes, int, bytes]  # idempotency key, time of expiry, result
 WINDOW_US = 17_364_000
 DIGEST = bytes(16)
-HUGE = 1 << 34
+MAX_STORE_BYTES = 1 << 34
 
 
 class Own:
@@ -27,7 +27,9 @@
     def __init__(self, folder: Path, power: bool, entries: int = 1_000) -> None:
         self.now = time.monotonic_ns() // 1_000
         owner = segment_log.Owner("bench", bytes(16))
-        self.log = segment_log.SegmentLog(OsFiles(folder), owner, most_disk=HUGE, power=power, unread=0)
+        self.log = segment_log.SegmentLog(
+            OsFiles(folder), owner, most_disk=MAX_STORE_BYTES, power=power, unread=0
+        )
         self.index = Index(entries * BYTES_PER_ENTRY)
         self.log.recover(self.index, self.now)
         self.open = len(self.index)
@@ -73,7 +75,7 @@
         self.db.execute("COMMIT")
 
     def load(self) -> int:
-        """Read all keys into memory, so that no request waits for the disk; their number."""
+        """Load all keys into memory, so that no request waits for the disk; return their number."""
         expiry_by_key = dict(self.db.execute("SELECT token, until FROM kept"))
         return len(expiry_by_key)
 
@@ -82,10 +84,10 @@
 
 
 class Lmdb:
-    """A tree in LMDB; without `power` it leaves all syncing to the system."""
+    """A B-tree in LMDB; without `power`, syncing is left to the operating system."""
 
     def __init__(self, folder: Path, power: bool, entries: int = 0) -> None:
-        self.env = lmdb.open(str(folder), map_size=HUGE, sync=power, metasync=power)
+        self.env = lmdb.open(str(folder), map_size=MAX_STORE_BYTES, sync=power, metasync=power)
         self.open = 0
 
     def append(self, rows: list[Row]) -> None:
@@ -94,7 +96,7 @@
                 txn.put(token, until.to_bytes(8, "big") + result)
 
     def load(self) -> int:
-        """As `Sqlite.load`."""
+        """Load all keys into memory; return their number."""
         with self.env.begin() as txn:
             expiry_by_key = {bytes(token): bytes(value[:8]) for token, value in txn.cursor()}
         return len(expiry_by_key)
@@ -108,7 +110,7 @@
 
 @contextlib.contextmanager
 def opened(kind: str, folder: Path, power: bool, entries: int = 1_000) -> Iterator[Own | Sqlite | Lmdb]:
-    """A store on an empty or a filled folder, closed at the end."""
+    """Open a store on an empty or filled folder, and close it at the end."""
     store = KINDS[kind](folder, power, entries)
     try:
         yield store
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -1,4 +1,4 @@
-"""Shared by the benchmarks: tables, memory, and child processes that each measure one case."""
+"""Helpers of the benchmarks: tables, memory usage, and child processes that each measure one case."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     return f"{cell:,}" if isinstance(cell, int) else str(cell)
 
 
-def show(title: str, head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
+def show(title: str, headings: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
     """Print a table in Markdown."""
     print(f"\n{title}\n")
-    print("| " + " | ".join(head) + " |")
-    print("|" + " --- |" * len(head))
+    print("| " + " | ".join(headings) + " |")
+    print("|" + " --- |" * len(headings))
     for row in rows:
         print(
             "| " + " | ".join(map(_format, row)) + " |",
@@ -40,11 +40,11 @@
     for line in Path("/proc/self/status").read_text().splitlines():
         if line.startswith("VmHWM:"):
             return int(line.split()[1]) * 1_024
-    raise RuntimeError("no VmHWM")
+    raise RuntimeError("/proc/self/status has no VmHWM line")
 
 
 def child(script: str, *arguments: object) -> Any:
-    """Measure one case in a process of its own, which prints JSON; `RuntimeError` if it fails."""
+    """Run a script that measures one case and prints JSON; raise `RuntimeError` if it fails."""
     process = subprocess.run([sys.executable, script, *map(str, arguments)], capture_output=True, text=True)
     if process.returncode:
         raise RuntimeError(f"{script} {arguments}: {process.stderr[-2000:]}")
