--- a/cairnvane/testbed/experiments/shares.py
+++ b/cairnvane/testbed/experiments/shares.py
@@ -74,9 +74,9 @@
         ]
         self.loss = 0.2 if trouble in ("loss", "all") else 0.0
         self._partition = [0] * servers
-        self.worst = 0.0  # highest excess of the sum of quotas over the limit, as a fraction of it
-        self.made = 0.0  # concurrent calls that the quotas allowed, summed over all measurements
-        self.could = 0.0  # calls that complete knowledge would allow, summed likewise
+        self.max_excess = 0.0  # highest excess of the sum of quotas over the limit, as a fraction of it
+        self.allowed_calls = 0.0  # concurrent calls that the quotas allowed, summed over all measurements
+        self.attainable_calls = 0.0  # calls that complete knowledge would allow, summed likewise
         self.messages = 0
 
     # --- quotas
@@ -182,13 +182,13 @@
     def _measure(self) -> None:
         self._push(self.now + TICK_US, self._measure)
         caps = [self.cap(number) for number in range(self.count)]
-        self.worst = max(self.worst, sum(caps) / self.limit - 1)
-        self.made += sum(
+        self.max_excess = max(self.max_excess, sum(caps) / self.limit - 1)
+        self.allowed_calls += sum(
             min(cap, server.demand)
             for cap, server in zip(caps, self.servers, strict=True)
             if self._is_running(server)
         )
-        self.could += self._attainable()
+        self.attainable_calls += self._attainable()
 
     # --- faults
 
@@ -266,7 +266,7 @@
 
 def _run_world(arm: str, trouble: str, servers: int, seed: int) -> tuple[float, float, float]:
     world = World(arm, trouble, servers, seed).run()
-    return world.worst, world.made / world.could, world.messages / servers / RUN_S
+    return world.max_excess, world.allowed_calls / world.attainable_calls, world.messages / servers / RUN_S
 
 
 def measure(
--- a/tests/load_shedding/test_quota_leases.py
+++ b/tests/load_shedding/test_quota_leases.py
@@ -97,8 +97,8 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_all_quotas_together_never_exceed_the_limit(trouble: str, seed: int) -> None:
     world = World("lent", trouble, 5, seed).run()
-    assert world.worst <= 1e-9, f"seed {seed}"
-    assert world.made / world.could > 0.75, f"seed {seed}"
+    assert world.max_excess <= 1e-9, f"seed {seed}"
+    assert world.allowed_calls / world.attainable_calls > 0.75, f"seed {seed}"
 
 
 def _always_first_process(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -136,7 +136,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     mutant(monkeypatch)
-    assert max(World("lent", trouble, 6, seed).run().worst for seed in range(6)) > 0.001
+    assert max(World("lent", trouble, 6, seed).run().max_excess for seed in range(6)) > 0.001
 
 
 def test_leases_serve_more_than_fixed_quotas_and_quotas_by_membership_exceed_the_limit(
