--- a/tests/recordings/test_golden_bytes.py
+++ b/tests/recordings/test_golden_bytes.py
@@ -328,18 +328,18 @@
     body = b"".join(record.ljust(protocol.EVENT_SIZE, b"\0") for record in records) + tail
     gauges: tuple[str | None, ...] = ()
     read: list[Any] = []
-    for instance, told in protocol.read_batch(body, len(records)):
-        if isinstance(told, protocol.Hello):
-            gauges = gauges or told.gauges
-            known = [gauge is not None for gauge in told.gauges]
-            read.append([instance, "hello", told.seed, settings_form(told.settings), known])
-        elif isinstance(told, protocol.Teardown):
+    for instance, decoded in protocol.read_batch(body, len(records)):
+        if isinstance(decoded, protocol.Hello):
+            gauges = gauges or decoded.gauges
+            known = [gauge is not None for gauge in decoded.gauges]
+            read.append([instance, "hello", decoded.seed, settings_form(decoded.settings), known])
+        elif isinstance(decoded, protocol.Teardown):
             read.append([instance, "teardown"])
-        elif isinstance(told, tuple):
-            token, values = told
+        elif isinstance(decoded, tuple):
+            token, values = decoded
             read.append([instance, event_form(timer_fired(token, values, gauges))])
         else:
-            read.append([instance, event_form(told)])
+            read.append([instance, event_form(decoded)])
     return {"body": body.hex(), "read": read}
 
 
@@ -421,12 +421,12 @@
     """The outcome and the body of a call; its duration varies and is not recorded."""
 
     def __init__(self) -> None:
-        self.came = threading.Event()
+        self.ended = threading.Event()
         self.form: Form = []
 
-    def told(self, outcome: Outcome, body: bytes, took_us: int) -> None:
+    def finished(self, outcome: Outcome, body: bytes, took_us: int) -> None:
         self.form = [OUTCOMES[outcome], body.hex()]
-        self.came.set()
+        self.ended.set()
 
 
 def vault_calls() -> Made:
@@ -435,8 +435,8 @@
     for name, reply in VAULT_REPLIES.items():
         peer = OneConnection(_serve_http(reply))
         end = CallEnd()
-        vault.VaultCall(peer.address, UID, b'{"key":1}', 10_000_000, end.told)
-        assert end.came.wait(WAIT_S)
+        vault.VaultCall(peer.address, UID, b'{"key":1}', 10_000_000, end.finished)
+        assert end.ended.wait(WAIT_S)
         sent = _without_port(peer.read(), peer.address)
         left = re.search(rb"X-Max-Ms: ([0-9]+)\r\n", sent)
         assert left is not None and 0 < int(left[1]) <= 10_000
@@ -501,7 +501,7 @@
     def say(message: dict[str, Any]) -> None:
         sock.sendall(json.dumps(message).encode() + b"\n")
 
-    told = False
+    are_notices_sent = False
     with sock.makefile("rb") as stream:
         while len(lines) < POOL_LINES:
             line = stream.readline()
@@ -513,8 +513,8 @@
                 say({"action": "polled", "echo": command["echo"], "meters": [0.5, 3]})
             elif command["action"] == "verify":
                 say({"action": "verified", "echo": command["echo"], "code": "fine"})
-            elif not told:
-                told = True
+            elif not are_notices_sent:
+                are_notices_sent = True
                 for notice in POOL_NOTICES:
                     say(notice)
     return b"".join(lines)
@@ -575,16 +575,16 @@
     for found in keyed_record.scan(block, 0, 3):
         assert not isinstance(found, keyed_record.Damage)
         kind, offset, payload = found
-        told = keyed_record.parse_record(kind, payload)
+        parsed = keyed_record.parse_record(kind, payload)
         read.append(
             [
                 kind,
                 offset,
-                told.key.hex(),
-                told.recorded_at,
-                told.expires_at,
-                told.settled_notice,
-                told.own_part.hex(),
+                parsed.key.hex(),
+                parsed.recorded_at,
+                parsed.expires_at,
+                parsed.settled_notice,
+                parsed.own_part.hex(),
             ]
         )
     back = keyed_record.parse_header(block[: keyed_record.HEADER_BYTES])
@@ -636,8 +636,8 @@
 
 def digests() -> Made:
     """Fingerprints of class and body, as they are written to records."""
-    told = {"read": b"body", "write": b"", "caf\u00e9": bytes(range(256))}
-    return {lane: fingerprint(lane, body).hex() for lane, body in told.items()}
+    bodies = {"read": b"body", "write": b"", "caf\u00e9": bytes(range(256))}
+    return {lane: fingerprint(lane, body).hex() for lane, body in bodies.items()}
 
 
 # --- membership
@@ -656,7 +656,7 @@
             5, 3, 8, {"phase": int(member_table.Phase.SERVING), "load": 0.5, "name": "caf\u00e9"}
         )
     ]
-    told: dict[str, messages.Message] = {
+    originals: dict[str, messages.Message] = {
         "ping": messages.Ping(1, 5, claims, infos),
         "plain ping": messages.Ping(2, 5),
         "ack": messages.Ack(3, 5, claims, infos),
@@ -666,7 +666,7 @@
         "answer": messages.View(False),
     }
     made: Made = {}
-    for number, (name, message) in enumerate(told.items(), 70):
+    for number, (name, message) in enumerate(originals.items(), 70):
         sealed = messages.seal(KEY, LARGE, number, message)
         assert messages.unseal(KEY, sealed) == (LARGE, number, message)
         made[name] = sealed.hex()
