--- a/cairnvane/testbed/cluster/__init__.py
+++ b/cairnvane/testbed/cluster/__init__.py
@@ -1,8 +1,8 @@
-"""Several processes of the real program under load, with faults between them: `cairnvane lab fleet`.
+"""Runs several processes of the real program under load and injected faults: `cairnvane lab fleet`.
 
-`scenario` models what is to happen, `scenario_file` reads and checks it, `schedule` draws when it happens,
-and `link_conditions` decides what becomes of each piece of data on a link; none of these does network I/O.
-`links`, `peers`, `nodes` and `load` move the data, `scenario_run` brings all of them together, and `checker`
-and `observations` compare what clients, worker pools and log lines recorded with the rules and with the
-scenario's expectations.
+`scenario` is the model of a scenario, `scenario_file` parses and validates it, `schedule` draws the times of
+its faults, and `link_conditions` decides whether and when each piece of data on a link arrives; none of these
+does network I/O. `links`, `peers`, `nodes` and `load` do the network I/O, and `scenario_run` runs a scenario
+with them. `checker` and `observations` compare the records of clients and worker pools, and the servers' log
+lines, with the rules and with the scenario's expectations.
 """
--- a/cairnvane/testbed/cluster/checker.py
+++ b/cairnvane/testbed/cluster/checker.py
@@ -1,7 +1,7 @@
 """Compares the records of clients and worker pools with the rules and the scenario's expectations. No I/O.
 
-Nothing here was reported by a server. An attempt is identified by its request id, a request by its body,
-which no other request has.
+No record comes from a server. An attempt is identified by its request id, a request by its body, which is
+unique.
 """
 
 from __future__ import annotations
@@ -17,25 +17,26 @@
 from .observations import Views
 from .scenario import Scenario
 
-# What a testbed of Python threads on a shared machine may add to the deadlines.
+# Tolerance on deadlines for scheduling delays: the testbed runs Python threads on a shared machine.
 DEADLINE_SLACK_S = 1.0
-# Recovered: this fraction of the share before is served over this window; looked at in these steps.
+# The cluster has recovered once the share of requests served in time reaches this fraction of its value
+# before the faults, over a window of this length. The start of the window advances by this step.
 RECOVERED_FRACTION = 0.95
 RECOVERY_WINDOW_S = 2.0
 RECOVERY_STEP_S = 0.5
-# An attempt that was open, or was sent, so shortly around a fault of its server or link may have been hit.
+# A fault of a server or of its link may affect attempts that were open up to this time before or after it.
 FAULT_MARGIN_S = 0.5
-# In each handover, so many attempts may end unread at the closing listener; their balancers send them again.
+# Maximum number of attempts per handover that may end unread at the closing listener; balancers retry them.
 MAX_UNREAD_PER_HANDOVER = 2
-# Lost attempts that are reported one by one.
+# Maximum number of lost attempts that are reported individually.
 MAX_LOST_SHOWN = 8
 
 
 @dataclass(frozen=True)
 class FaultWindow:
-    """While it lasts, an attempt at that server may break or stay unanswered through no fault of the program.
+    """A period in which an injected fault may disconnect attempts at one server or leave them unanswered.
 
-    In a `handover` a new version took over, and only attempts that never ran may end.
+    In a `handover` a new version replaces the old one, and only attempts that never ran may be disconnected.
     """
 
     node: int
@@ -52,37 +53,37 @@
     seed: int
     requests: int = 0
     tries: int = 0
-    served: float = 0.0  # the share of all requests that was served in time
+    served: float = 0.0  # share of all requests that were served in time
     worth: float = 0.0  # the same, weighted by priority
     refused: int = 0  # attempts
     failed: int = 0
     broken: int = 0
-    given_up: int = 0  # by balancers that waited long enough
-    lost: int = 0  # attempts that broke or stayed unanswered without a fault around them
-    at_door: int = 0  # that ended, never run, at the closing listener of a version with a successor
-    lost_tries: list[str] = field(default_factory=list)  # descriptions of some of the lost ones
+    given_up: int = 0  # attempts that timed out at their balancers
+    lost: int = 0  # attempts disconnected or left unanswered without a fault that explains it
+    at_door: int = 0  # attempts that never ran, disconnected by the closing listener of a replaced version
+    lost_tries: list[str] = field(default_factory=list)  # descriptions of some of the lost attempts
     lost_at: list[tuple[int, float, float]] = field(default_factory=list)  # their servers and times
-    twice: int = 0  # runs of a keyed request beyond one, in one incarnation of a server
+    twice: int = 0  # runs of a keyed request beyond the first, in one incarnation of a server
     refused_after_run: int = 0
-    differing: int = 0  # keyed requests with two responses that differ, in one incarnation
-    invented: int = 0  # responses that no run made
+    differing: int = 0  # keyed requests with different responses from one incarnation
+    invented: int = 0  # responses that are the result of no run
     tries_a_request: float = 0.0
-    before: float = 0.0  # the share in time before the first fault
+    before: float = 0.0  # share served in time before the first fault
     worth_before: float = 0.0  # the same, weighted by priority
     worth_during: float = 0.0  # while faults lasted
     worth_after: float = 0.0  # after the last fault
-    again: float = 0.0  # of all attempts, the share whose request had been rejected before
-    sick_calls: float = 0.0  # calls a second that met a faulty dependency
-    vault_over: float = 0.0  # the share of time that the dependency had more calls in flight than slots
+    again: float = 0.0  # share of attempts whose request had been rejected before
+    sick_calls: float = 0.0  # calls per second that arrived while the dependency was faulty
+    vault_over: float = 0.0  # share of time with more calls in flight at the dependency than slots
     back_s: float | None = None  # seconds from the last fault's end; None: not recovered, or no fault
     vault_most: int = 0
     vault_fell: int = 0
-    most_crowded: float = 0.0  # the most runnable runs, for each core
-    highest_mean_crowding: float = 0.0  # the same, in the mean of the time that a machine survives
-    overloaded: int = 0  # servers whose machine got more runs than it survives
-    memory_used: float = 0.0  # the most of a machine's memory that was booked, as a fraction
-    memory_exceeded: int = 0  # servers whose machine got more than its memory
-    highest_mean_calls: float = 0.0  # at the dependency, as a fraction of what it survives
+    most_crowded: float = 0.0  # maximum number of runnable runs per core
+    highest_mean_crowding: float = 0.0  # the same, as the mean over the window that a machine survives
+    overloaded: int = 0  # servers whose machine had more runnable runs than it survives
+    memory_used: float = 0.0  # highest fraction of a machine's memory that was booked
+    memory_exceeded: int = 0  # servers that booked more memory than their machine has
+    highest_mean_calls: float = 0.0  # calls in flight at the dependency, as a fraction of what it survives
     dependency_overloaded: bool = False
     lag_ms: float = 0.0
     views: Views | None = None  # with `members`
@@ -130,33 +131,38 @@
         ]
 
 
-def served_share(requests: Sequence[ClientRequest], since: float, until: float, worth: bool = False) -> float:
-    """Of the requests created in this period, the share that was served in time; 1 if there are none.
+def served_share(
+    requests: Sequence[ClientRequest], since: float, until: float, weighted: bool = False
+) -> float:
+    """Share of the requests created in this period that were served in time; 1 if there are none.
 
-    `worth`: weighted by priority.
+    With `weighted`, requests are weighted by priority.
     """
     created = [request for request in requests if since <= request.created_at < until]
-    weights = [PRIORITY_WEIGHTS[request.request_class] if worth else 1.0 for request in created]
+    weights = [PRIORITY_WEIGHTS[request.request_class] if weighted else 1.0 for request in created]
     served = [weight for request, weight in zip(created, weights, strict=True) if request.in_time]
     return sum(served) / sum(weights) if sum(weights) else 1.0
 
 
 def recovery_time(
-    requests: Sequence[ClientRequest], before: float, over: float, until: float
+    requests: Sequence[ClientRequest], share_before: float, faults_end: float, until: float
 ) -> float | None:
-    """Seconds from `over` until the share in time is what it was `before`; None if it is not by `until`."""
-    at = over
-    while at + RECOVERY_WINDOW_S <= until:
-        if served_share(requests, at, at + RECOVERY_WINDOW_S) >= RECOVERED_FRACTION * before:
-            return at - over
-        at += RECOVERY_STEP_S
+    """Seconds from `faults_end` until the share served in time has recovered; None if not by `until`."""
+    window_start = faults_end
+    while window_start + RECOVERY_WINDOW_S <= until:
+        if (
+            served_share(requests, window_start, window_start + RECOVERY_WINDOW_S)
+            >= RECOVERED_FRACTION * share_before
+        ):
+            return window_start - faults_end
+        window_start += RECOVERY_STEP_S
     return None
 
 
 def is_excused(attempt: Attempt, windows: Sequence[FaultWindow], handover: bool = False) -> bool:
-    """Whether a fault of its server, or on the way there, overlaps with the attempt.
+    """Whether a fault of the attempt's server, or of the link to it, overlaps with the attempt.
 
-    With `handover`, whether a handover between two versions does.
+    With `handover`, whether a handover between two versions overlaps with it.
     """
     ended_at = attempt.ended_at if attempt.status is not None else float("inf")
     return any(
@@ -181,7 +187,7 @@
     windows: Sequence[FaultWindow],
     ran: bool,
 ) -> None:
-    """Count an attempt without a final answer as lost, unless a fault of the scenario excuses it."""
+    """Count an attempt without a response as lost, unless an injected fault explains it."""
     if is_excused(attempt, windows):
         return
     disconnected = attempt.status == DISCONNECTED and not attempt.timed_out
@@ -230,7 +236,7 @@
     records: Sequence[RunRecord],
     windows: Sequence[FaultWindow],
 ) -> None:
-    """Count what one request shows; `records`: those of the pools that ran it."""
+    """Check one request against `records`, the run records of all pools that ran it."""
     ids_that_ran = {request_id for record in records for request_id in record.request_ids}
     _count_attempts(verdict, request, windows, ids_that_ran)
     verdict.refused_after_run += sum(
@@ -247,7 +253,7 @@
 
 
 def _responses_differ(request: ClientRequest) -> bool:
-    """Whether one incarnation of a server gave two responses that differ."""
+    """Whether one incarnation of a server sent different responses."""
     answers = {
         (attempt.node, attempt.incarnation, attempt.result)
         for attempt in request.attempts
@@ -268,16 +274,16 @@
 def _measure_service(
     verdict: Verdict, scenario: Scenario, requests: Sequence[ClientRequest], first_fault: float
 ) -> None:
-    """What was served, over the whole run and around the faults."""
+    """Measure what was served, over the whole run and before, during and after the faults."""
     seconds = scenario.seconds
     verdict.tries_a_request = verdict.tries / max(1, len(requests))
     verdict.served = served_share(requests, 0.0, seconds)
-    verdict.worth = served_share(requests, 0.0, seconds, worth=True)
+    verdict.worth = served_share(requests, 0.0, seconds, weighted=True)
     verdict.before = served_share(requests, 0.0, first_fault)
     faults_end = scenario.last_end() if scenario.faults else seconds
-    verdict.worth_before = served_share(requests, 0.0, first_fault, worth=True)
-    verdict.worth_during = served_share(requests, first_fault, faults_end, worth=True)
-    verdict.worth_after = served_share(requests, faults_end, seconds, worth=True)
+    verdict.worth_before = served_share(requests, 0.0, first_fault, weighted=True)
+    verdict.worth_during = served_share(requests, first_fault, faults_end, weighted=True)
+    verdict.worth_after = served_share(requests, faults_end, seconds, weighted=True)
     verdict.again = _retries_after_rejection(requests) / max(1, verdict.tries)
     if scenario.faults:
         verdict.back_s = recovery_time(requests, verdict.before, faults_end, seconds)
@@ -307,10 +313,10 @@
     windows: Sequence[FaultWindow],
     first_fault: float,
 ) -> Verdict:
-    """The verdict on one run; the client timeouts of all requests have passed.
+    """Check one run, after the client timeouts of all requests have passed.
 
-    `records_by_server`: for each server, what its pool recorded by body. `first_fault`: when it begins, in
-    seconds of the load, as all times here.
+    `records_by_server`: for each server, the run records of its pools by request body. `first_fault`: the
+    start of the first fault. All times are seconds since the load's start.
     """
     verdict = Verdict(scenario.name, seed, requests=len(requests))
     for request in requests:
--- a/cairnvane/testbed/cluster/link_conditions.py
+++ b/cairnvane/testbed/cluster/link_conditions.py
@@ -1,8 +1,7 @@
-"""What a link does to the data that passes it. No I/O, no clock: time and randomness are handed in.
+"""Decides whether and when data on a link arrives. No I/O: the caller passes time and randomness.
 
-A link has two directions, each with conditions of its own. On TCP nothing may be lost within a stream, so a
-piece that is dropped arrives later, as if it had been retransmitted; duplicates and reordering exist on UDP
-alone.
+A link has two directions, each with its own faults. A TCP stream must not lose data, so a dropped piece
+arrives later, as if it had been retransmitted; duplicates and reordering exist on UDP only.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 import random
 from dataclasses import dataclass, field
 
-# A lost piece is retransmitted after this time, and after twice as long for each further loss.
+# A lost piece is retransmitted after this time, which doubles with each further loss.
 RETRANSMIT_S = 0.2
 MAX_RETRANSMITS = 6
 # A reordered datagram is held back by up to this time beyond its delay.
@@ -21,44 +20,44 @@
 class LinkFault:
     """One fault of a link, in one direction."""
 
-    kind: str  # of `LINK_FAULT_KINDS`
-    share: float = 1.0  # drop, duplicate, reorder: of the pieces
+    kind: str  # one of `LINK_FAULT_KINDS`
+    share: float = 1.0  # drop, duplicate, reorder: the fraction of pieces affected
     delay_s: float = 0.0
     spread_s: float = 0.0
     bytes_a_second: float = 0.0  # cap
 
 
-# `cut`: nothing passes until it is over. `stall`: what comes is taken, and never passed on. `reset`:
-# connections end.
+# `cut`: data is delayed until the fault ends. `stall`: data is accepted and discarded. `reset`: connections
+# are reset.
 LINK_FAULT_KINDS = ("drop", "delay", "duplicate", "reorder", "cap", "cut", "stall", "reset")
-# On TCP the two ends could see nothing of these.
+# TCP hides these from both ends.
 UDP_ONLY_KINDS = ("duplicate", "reorder")
 
 
 @dataclass
 class Direction:
-    """One direction of a link: its faults, and what they make of each piece of data."""
+    """One direction of a link: its faults and their effect on each piece of data."""
 
     random: random.Random
     faults: dict[int, LinkFault] = field(default_factory=dict)  # by the number of the scenario's fault
-    stream_broken: bool = False  # a stream lost a part to a stall, and can't go on
-    _capacity_free_at: float = 0.0  # when what was capped has passed
+    stream_broken: bool = False  # a stall discarded data of a stream, which has to be reset
+    _capacity_free_at: float = 0.0  # when all data so far has passed the bandwidth cap
     _last_arrival_at: float = 0.0  # of the last piece: streams keep their order
 
-    def _has(self, kind: str) -> bool:
+    def _has_fault(self, kind: str) -> bool:
         return any(fault.kind == kind for fault in self.faults.values())
 
     def blocked(self) -> bool:
-        """Whether nothing passes for now."""
-        return self._has("cut")
+        """Whether all data is delayed."""
+        return self._has_fault("cut")
 
-    def swallows(self) -> bool:
-        """Whether data is taken and lost."""
-        return self._has("stall")
+    def discards(self) -> bool:
+        """Whether data is accepted and discarded."""
+        return self._has_fault("stall")
 
     def resets(self) -> bool:
-        """Whether connections end."""
-        return self._has("reset")
+        """Whether connections are reset."""
+        return self._has_fault("reset")
 
     def _delay_s(self, size: int, now: float) -> float:
         delay = 0.0
@@ -71,7 +70,7 @@
                 delay += self._capacity_free_at - now
         return delay
 
-    def _hits(self, kind: str) -> bool:
+    def _is_affected_by(self, kind: str) -> bool:
         shares = [fault.share for fault in self.faults.values() if fault.kind == kind]
         return any(self.random.random() < share for share in shares)
 
@@ -80,7 +79,7 @@
         delay = self._delay_s(size, now)
         retransmit_s = RETRANSMIT_S
         for _ in range(MAX_RETRANSMITS):
-            if not self._hits("drop"):
+            if not self._is_affected_by("drop"):
                 break
             delay += retransmit_s
             retransmit_s *= 2
@@ -89,8 +88,8 @@
 
     def datagram_delays(self, size: int, now: float) -> list[float]:
         """Seconds until each copy of this datagram arrives; empty if it is lost."""
-        if self.blocked() or self.swallows() or self._hits("drop"):
+        if self.blocked() or self.discards() or self._is_affected_by("drop"):
             return []
-        copies = 2 if self._hits("duplicate") else 1
-        reorder_s = MAX_REORDER_DELAY_S * self.random.random() if self._hits("reorder") else 0.0
+        copies = 2 if self._is_affected_by("duplicate") else 1
+        reorder_s = MAX_REORDER_DELAY_S * self.random.random() if self._is_affected_by("reorder") else 0.0
         return [self._delay_s(size, now) + reorder_s for _ in range(copies)]
--- a/cairnvane/testbed/cluster/links.py
+++ b/cairnvane/testbed/cluster/links.py
@@ -1,7 +1,7 @@
-"""The testbed's own links: data between two processes passes through one of them, and meets its faults.
+"""Proxies between the testbed's processes, which apply link faults to the data they forward.
 
-One thread runs an event loop for all links; other threads hand changes in. What a link does to a piece of
-data is decided in `link_conditions`.
+One thread runs an event loop for all links; other threads submit changes to it. `link_conditions` decides
+what happens to each piece of data.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from ..stand_ins.sockets import HOST, free_ports
 from .link_conditions import Direction, LinkFault
 
-# The largest piece of a stream that is passed on at once.
+# Maximum size of a piece of a stream that is forwarded at once.
 PIECE_BYTES = 65_536
-# The most bytes of a stream that may be in transit in one direction.
+# Maximum number of bytes of a stream in transit in one direction.
 MAX_TRANSIT_BYTES = 1 << 20
-# Interval at which a blocked stream checks whether it may go on.
+# Interval at which a blocked stream checks whether it may continue.
 BLOCKED_POLL_S = 0.01
 LISTEN_BACKLOG = 512
-# The longest wait of another thread for the event loop, and for its end.
+# Timeouts of other threads for a call to the event loop and for the end of its thread.
 LOOP_TIMEOUT_S = 10
 JOIN_TIMEOUT_S = 5
 
@@ -34,7 +34,7 @@
 
 
 class Link:
-    """A link between two ends; `there` is the direction from the end that connects."""
+    """A link between two ends; `there` is the direction from the connecting end, `back` the opposite one."""
 
     def __init__(self, seed: str) -> None:
         self.there = Direction(random.Random(f"{seed} there"))
@@ -47,26 +47,26 @@
         return {"there": [self.there], "back": [self.back]}.get(way, [self.there, self.back])
 
     def apply_faults(self) -> None:
-        """Act on a change of the faults."""
+        """Apply changed faults to open connections."""
 
 
 class TcpLink(Link):
-    """Accepts connections in the place of the other end, and forwards them."""
+    """A TCP proxy: accepts connections on behalf of the other end and forwards them."""
 
     def __init__(
         self,
         seed: str,
-        to: Callable[[], Address | None],
-        refused: Callable[[], None] | None = None,
+        target: Callable[[], Address | None],
+        on_refused: Callable[[], None] | None = None,
     ) -> None:
-        """Forward to the address that `to` returns; None: the other end is down.
+        """Forward to the address that `target` returns; None means that the other end is down.
 
-        `refused` is called in the event loop's thread when the other end refuses a connection, though it is
-        up. With it, the link itself refuses connections from then on, until `set_listening`.
+        `on_refused` is called in the event loop's thread when the other end is up but refuses a connection.
+        With this callback, the link itself refuses connections from then on, until `set_listening`.
         """
         super().__init__(seed)
-        self._to, self._refused = to, refused
-        if refused is not None:  # it stops listening at times, and comes back to its port
+        self._target, self._on_refused = target, on_refused
+        if on_refused is not None:  # the link stops listening at times and later listens on the same port
             (self.port,) = free_ports(1)
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
@@ -83,25 +83,25 @@
         try:
             while self.there.blocked():
                 await asyncio.sleep(BLOCKED_POLL_S)
-            if (address := self._to()) is None or self.there.resets() or self.back.resets():
+            if (address := self._target()) is None or self.there.resets() or self.back.resets():
                 return _reset(near)
             try:
                 far_in, far = await asyncio.open_connection(*address)
             except OSError:
                 self.counts["refused"] += 1
-                if self._refused is not None:  # open connections go on
-                    self._refused()
+                if self._on_refused is not None:  # open connections stay open
+                    self._on_refused()
                     self._stop_listening()
                 return _reset(near)
             self._writers.add(far)
             await asyncio.gather(
-                _pump(near_in, near, far, self.there, self.counts),
-                _pump(far_in, far, near, self.back, self.counts),
+                _forward_stream(near_in, near, far, self.there, self.counts),
+                _forward_stream(far_in, far, near, self.back, self.counts),
             )
         except (OSError, asyncio.IncompleteReadError):
             self.counts["broken"] += 1
         except asyncio.CancelledError:
-            pass  # the links end; left to the loop, each would be reported on standard error
+            pass  # the link closes; asyncio would report the unhandled cancellation on standard error
         finally:
             for writer in (near, far):
                 if writer is not None:
@@ -109,15 +109,18 @@
                     writer.close()
 
     def apply_faults(self) -> None:
-        """Reset open connections, if a fault demands it or a stream has lost a part."""
+        """Reset open connections if a fault requires it or a stream has lost data."""
         directions = self.there, self.back
-        if any(way.resets() or (way.stream_broken and not way.swallows()) for way in directions):
+        if any(
+            direction.resets() or (direction.stream_broken and not direction.discards())
+            for direction in directions
+        ):
             self.reset_connections()
-            for way in directions:
-                way.stream_broken = False
+            for direction in directions:
+                direction.stream_broken = False
 
     async def set_listening(self, listening: bool) -> None:
-        """Accept connections, or refuse them and reset the open ones, as the end behind the link would."""
+        """Accept connections, or refuse them and reset the open ones, as the target of the link would."""
         if listening and self._server is None:
             await self.start()
         elif not listening:
@@ -130,7 +133,7 @@
             self._server = None
 
     def reset_connections(self) -> None:
-        """Reset all connections, as the successor of a machine that is gone would."""
+        """Reset all connections, as a machine does that replaces a lost one and does not know them."""
         for writer in list(self._writers):
             _reset(writer)
 
@@ -140,16 +143,16 @@
         self.reset_connections()
 
 
-async def _pump(
+async def _forward_stream(
     source: asyncio.StreamReader,
     origin: asyncio.StreamWriter,
     sink: asyncio.StreamWriter,
-    way: Direction,
+    direction: Direction,
     counts: Counter[str],
 ) -> None:
-    """Forward one direction of a connection, from `origin`, whose reader is `source`, to `sink`.
+    """Forward one direction of a connection from `origin`, whose reader is `source`, to `sink`.
 
-    Further pieces are read while earlier ones are still in transit.
+    The next pieces are read while earlier ones are still in transit.
     """
     loop = asyncio.get_running_loop()
     transit_bytes = 0
@@ -160,17 +163,17 @@
     async def deliver() -> None:
         try:
             await deliver_all()
-        except OSError:  # the receiver is gone, and the sender has to notice
+        except OSError:  # the receiver has disconnected: disconnect the sender too
             _reset(origin)
             capacity.set()
 
     async def deliver_all() -> None:
         nonlocal transit_bytes
         while True:
-            at, data = await queue.get()
-            if (wait := at - loop.time()) > 0:
-                await asyncio.sleep(wait)
-            while way.blocked():
+            arrives_at, data = await queue.get()
+            if (delay_s := arrives_at - loop.time()) > 0:
+                await asyncio.sleep(delay_s)
+            while direction.blocked():
                 await asyncio.sleep(BLOCKED_POLL_S)
             if not data:
                 with contextlib.suppress(OSError):
@@ -186,14 +189,14 @@
     try:
         while not task.done():
             data = await source.read(PIECE_BYTES)
-            if way.swallows():
-                way.stream_broken = True
+            if direction.discards():
+                direction.stream_broken = True
                 if not data:
                     return
                 continue
             now = loop.time()
             counts["bytes"] += len(data)
-            queue.put_nowait((now + way.stream_delay(len(data), now), data))
+            queue.put_nowait((now + direction.stream_delay(len(data), now), data))
             if not data:
                 break
             transit_bytes += len(data)
@@ -216,7 +219,7 @@
 
 
 class UdpLink(Link):
-    """A datagram link between two ends, each of which sends to a port of its own of the link."""
+    """A UDP proxy between two ends. Each end sends to its own port of the link."""
 
     def __init__(
         self,
@@ -224,28 +227,28 @@
         ends: tuple[Callable[[], Address | None], ...],
         ports: tuple[int, int] = (0, 0),
     ) -> None:
-        """`ends` return the addresses; `ports`: those to use for `self.ports`, 0 for any."""
+        """`ends` return the addresses of both ends; `ports` are the local ports to bind, 0 for any."""
         super().__init__(seed)
         self._ends = ends
         self._requested_ports = ports
         self._transports: list[asyncio.DatagramTransport] = []
-        self.ports: list[int] = []  # where the first sends to the second, and the second to the first
+        self.ports: list[int] = []  # the port to which the first end sends, and that of the second end
 
     async def start(self) -> None:
         """Open both ports."""
         loop = asyncio.get_running_loop()
-        for number, way in enumerate((self.there, self.back)):
+        for number, direction in enumerate((self.there, self.back)):
             transport, _ = await loop.create_datagram_endpoint(
-                lambda n=number, w=way: _Datagrams(self, n, w),  # type: ignore[misc]
+                lambda end=number, way=direction: _Datagrams(self, end, way),  # type: ignore[misc]
                 local_addr=(HOST, self._requested_ports[number]),
             )
             self._transports.append(transport)
             self.ports.append(transport.get_extra_info("sockname")[1])
 
-    def receive(self, number: int, way: Direction, data: bytes) -> None:
-        """Forward a datagram from end `number` by the other end's port, so that an answer finds its way."""
+    def receive(self, number: int, direction: Direction, data: bytes) -> None:
+        """Forward a datagram from end `number`, sent from the other end's port so that answers return."""
         loop = asyncio.get_running_loop()
-        delays = way.datagram_delays(len(data), loop.time())
+        delays = direction.datagram_delays(len(data), loop.time())
         self.counts["datagrams"] += 1
         self.counts["bytes"] += len(data)
         self.counts["lost"] += not delays
@@ -264,14 +267,14 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, link: UdpLink, number: int, way: Direction) -> None:
-        self._link, self._number, self._way = link, number, way
+    def __init__(self, link: UdpLink, number: int, direction: Direction) -> None:
+        self._link, self._number, self._direction = link, number, direction
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._link.receive(self._number, self._way, data)
+        self._link.receive(self._number, self._direction, data)
 
 
-L = TypeVar("L", TcpLink, UdpLink)
+LinkT = TypeVar("LinkT", TcpLink, UdpLink)
 
 
 class Network:
@@ -286,14 +289,14 @@
     def _call(self, work: Coroutine[Any, Any, None]) -> None:
         asyncio.run_coroutine_threadsafe(work, self._loop).result(LOOP_TIMEOUT_S)
 
-    def add(self, link: L) -> L:
+    def add(self, link: LinkT) -> LinkT:
         """Start a link, and return it."""
         self._call(link.start())
         self._links.append(link)
         return link
 
     def set_fault(self, link: Link, way: str, number: int, fault: LinkFault | None) -> None:
-        """Begin the fault of this number in the named directions, or (None) end it."""
+        """Apply a fault under this number in the named directions; None removes it."""
         done = threading.Event()
 
         def change() -> None:
@@ -309,11 +312,11 @@
         done.wait(LOOP_TIMEOUT_S)
 
     def set_listening(self, link: TcpLink, listening: bool) -> None:
-        """Whether the end behind this link listens."""
+        """Set whether the link accepts connections."""
         self._call(link.set_listening(listening))
 
     def close(self) -> None:
-        """Close all links, and end the thread."""
+        """Close all links and stop the thread."""
 
         async def end() -> None:
             for link in self._links:
--- a/cairnvane/testbed/cluster/load.py
+++ b/cairnvane/testbed/cluster/load.py
@@ -1,4 +1,4 @@
-"""Load on a cluster: balancers that send requests at a rate, retry elsewhere, and may heed retry-after."""
+"""Load generator for a cluster: balancers that send and retry requests, and may honor retry-after."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 LATENCY_OBJECTIVES_S = {"price-view": 1.4, "bid-update": 2.3, "bid-commit": 2.3}
 CLIENT_TIMEOUTS_S = {"price-view": 3.4, "bid-update": 5.8, "bid-commit": 5.8}
 PRIORITY_WEIGHTS = {"price-view": 1.0, "bid-update": 2.0, "bid-commit": 3.0}
-# Delay before the retry of a rejected attempt, and of one that was disconnected or failed.
+# Delays before the retry of a rejected attempt and of a disconnected or failed one.
 RETRY_AFTER_REJECTION_S = 0.002
 RETRY_AFTER_FAILURE_S = 0.02
-# A balancer that was disconnected from a server avoids it for this time.
+# Time for which a balancer avoids a server after a disconnect.
 AVOID_AFTER_DISCONNECT_S = 1.0
 CONNECTIONS_PER_SERVER = 2
-# A request is not retried once it is late by this multiple of its latency objective.
+# A request is not retried once its age exceeds this multiple of its latency objective.
 MAX_LATENESS = 1.2
-# The longest wait of the load's thread for a change.
+# Maximum wait of the load generator's thread for a change.
 MAX_WAIT_S = 0.05
 
 
@@ -40,18 +40,18 @@
 
     request_id: str
     node: int
-    incarnation: int  # the line of versions of the server, along which idempotency keys are kept
+    incarnation: int  # the server's line of versions; idempotency keys are kept within one line
     sent_at: float
     ended_at: float = 0.0
-    status: int | None = None  # `DISCONNECTED`: also if the balancer gave up; None: not over
+    status: int | None = None  # `DISCONNECTED` also after a timeout; None while the attempt is open
     timed_out: bool = False  # the balancer gave up
-    unreachable: bool = False  # nobody listened, or no connection had capacity: it was never read
-    result: bytes | None = None  # with which it was served
+    unreachable: bool = False  # nothing listened, or no connection had capacity: no server read it
+    result: bytes | None = None  # the body of the successful response
 
 
 @dataclass
 class ClientRequest:
-    """One request, over all its attempts. Times are seconds of the load."""
+    """One request with all its attempts. Times are seconds since the load's start."""
 
     body: bytes
     request_class: str
@@ -75,77 +75,79 @@
 
 
 class LoadGenerator:
-    """All balancers: one thread creates requests and sends retries, others receive the replies."""
+    """All balancers: one thread creates requests and sends retries, other threads receive the replies."""
 
     def __init__(self, scenario: Scenario, seed: int, nodes: Sequence[Node]) -> None:
         self.requests: list[ClientRequest] = []
-        self.rate_factor = 1.0  # set by a surge
-        self.start = 0.0  # of the load, on the monotonic clock
-        self.max_lag_s = 0.0  # the most that a request was sent behind its time
+        self.rate_factor = 1.0  # changed by the fault `surge`
+        self.start = 0.0  # start of the load, on the monotonic clock
+        self.max_lag_s = 0.0  # maximum delay of a request behind its scheduled time
         self._scenario = scenario
         self._nodes = nodes
         self._random = random.Random(f"{seed} load")
-        self._count = itertools.count(1)  # of request ids, and of tasks in their order
-        self._lock = threading.Lock()  # guards what follows, and all requests and attempts
+        self._count = itertools.count(1)  # numbers request ids, and tasks in their order
+        self._lock = threading.Lock()  # guards the fields below and all requests and attempts
         self._changed = threading.Condition(self._lock)
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []  # due time, order, task
-        self._over = False
-        # By balancer and server: connections, and until when the server is avoided.
+        self._tasks: list[tuple[float, int, Callable[[], None]]] = []  # due time, order, task
+        self._is_settling = False
+        # Connections by balancer and server.
         self._balancers: dict[tuple[int, int], StandInBalancer] = {}
-        self._ended_ids: set[str] = set()  # of the attempts that are over
-        self._open: dict[str, Attempt] = {}  # the attempts that are not over, by request id
-        self._retry_after: dict[tuple[int, int], float] = {}  # as the server advised
-        self._avoid_until: dict[tuple[int, int], float] = {}  # after a disconnect
+        self._ended_request_ids: set[str] = set()  # of the attempts that have ended
+        self._open: dict[str, Attempt] = {}  # open attempts by request id
+        self._retry_after: dict[
+            tuple[int, int], float
+        ] = {}  # by balancer and server: until when the server asked it to wait
+        self._avoid_until: dict[tuple[int, int], float] = {}  # by balancer and server: set after a disconnect
 
     def now(self) -> float:
         """Seconds since the load's start."""
         return time.monotonic() - self.start
 
     def run(self) -> None:
-        """Generate the whole load in the caller's thread; return at its end."""
+        """Generate the whole load in the caller's thread, and return at its end."""
         self.start = time.monotonic()
-        at = 0.0
+        created_at = 0.0
         end = self._scenario.seconds
-        while at < end:
-            at += self._random.expovariate(self._scenario.load.rate * self.rate_factor)
-            self._run_tasks_until(at)
-            self.max_lag_s = max(self.max_lag_s, self.now() - at)
-            self._create_request(at)
+        while created_at < end:
+            created_at += self._random.expovariate(self._scenario.load.rate * self.rate_factor)
+            self._run_tasks_until(created_at)
+            self.max_lag_s = max(self.max_lag_s, self.now() - created_at)
+            self._create_request(created_at)
         self._run_tasks_until(end)
 
     def is_over(self, request_id: str) -> bool:
-        """Whether the attempt with this id has been answered, or given up."""
-        return request_id in self._ended_ids
+        """Whether the attempt with this id has been answered or has timed out."""
+        return request_id in self._ended_request_ids
 
     def open_attempts(self, sent_before: float) -> Counter[int]:
-        """By server, how many attempts are open that were sent before this second of the load."""
+        """Number of open attempts by server that were sent before this time, in seconds of the load."""
         with self._lock:
             return Counter(attempt.node for attempt in self._open.values() if attempt.sent_at < sent_before)
 
     def settle(self, seconds: float) -> None:
-        """Wait until all attempts have ended, but no longer than this; nothing is retried."""
-        self._over = True
+        """Wait up to `seconds` for all attempts to end, without further retries."""
+        self._is_settling = True
         self._run_tasks_until(self.now() + seconds, self._all_ended)
 
     def _all_ended(self) -> bool:
         return all(attempt.status is not None for request in self.requests for attempt in request.attempts)
 
-    def _run_tasks_until(self, at: float, enough: Callable[[], bool] = lambda: False) -> None:
-        """Run the tasks that fall due by then, or until there is `enough`."""
+    def _run_tasks_until(self, end: float, is_done: Callable[[], bool] = lambda: False) -> None:
+        """Run due tasks until the time `end` or until `is_done` returns true."""
         while True:
             with self._lock:
                 now = self.now()
-                if now >= at or enough():
+                if now >= end or is_done():
                     return
-                if not self._agenda or self._agenda[0][0] > now:
-                    next_at = min(at, self._agenda[0][0] if self._agenda else at)
+                if not self._tasks or self._tasks[0][0] > now:
+                    next_at = min(end, self._tasks[0][0] if self._tasks else end)
                     self._changed.wait(min(next_at - now, MAX_WAIT_S))
                     continue
-                task = heapq.heappop(self._agenda)[2]
+                task = heapq.heappop(self._tasks)[2]
             task()
 
-    def _schedule(self, at: float, task: Callable[[], None]) -> None:
-        heapq.heappush(self._agenda, (at, next(self._count), task))
+    def _schedule(self, due_at: float, task: Callable[[], None]) -> None:
+        heapq.heappush(self._tasks, (due_at, next(self._count), task))
 
     # --- requests
 
@@ -161,7 +163,7 @@
         self._send_attempt(request, rng.randrange(len(self._nodes)))
 
     def _send_attempt(self, request: ClientRequest, preferred: int) -> None:
-        """Send an attempt to the preferred server, or to the next one that is not to be avoided."""
+        """Send an attempt to the preferred server, or to the next one that the balancer does not avoid."""
         now = self.now()
         number = self._choose_server(request.balancer, preferred, now)
         request_id = f"{next(self._count):016x}"
@@ -188,18 +190,18 @@
             self._schedule(now + self._scenario.load.wait, lambda: self._time_out(request, attempt, abort))
 
     def _choose_server(self, balancer: int, preferred: int, now: float) -> int:
-        """The first server from the preferred one on that is not to be avoided; else the preferred one."""
-        heeds_advice = balancer < self._scenario.load.balancers * self._scenario.load.heed
+        """The first server from the preferred one on that is not avoided; the preferred one if all are."""
+        honors_retry_after = balancer < self._scenario.load.balancers * self._scenario.load.heed
         for step in range(len(self._nodes)):
             number = (preferred + step) % len(self._nodes)
             avoided = self._avoid_until.get((balancer, number), 0.0) > now
-            advised = heeds_advice and self._retry_after.get((balancer, number), 0.0) > now
-            if not avoided and not advised:
+            must_wait = honors_retry_after and self._retry_after.get((balancer, number), 0.0) > now
+            if not avoided and not must_wait:
                 return number
         return preferred % len(self._nodes)
 
     def _connected_balancer(self, balancer: int, number: int) -> StandInBalancer | None:
-        """The connections of a balancer to a server; None while nobody listens there."""
+        """The connections of a balancer to a server; None while nothing listens there."""
         if not self._nodes[number].up:
             return None
         connected = self._balancers.get((balancer, number))
@@ -217,7 +219,7 @@
         return connected
 
     def _time_out(self, request: ClientRequest, attempt: Attempt, abort: Callable[[], None]) -> None:
-        """Give an attempt up, if it has not ended."""
+        """Abort an attempt that has not ended within the balancer's timeout."""
         if attempt.status is None:
             attempt.timed_out = True
             abort()
@@ -228,9 +230,9 @@
     def _end_attempt(
         self, request: ClientRequest, attempt: Attempt, reply: Reply, reached: bool = True
     ) -> None:
-        """Record the end of an attempt, and schedule a retry; called in a reader's thread.
+        """Record the end of an attempt and schedule a retry; called in a reader's thread.
 
-        `reached` False: nobody listened, which proves that the attempt did not run.
+        `reached` is False if nothing listened, which proves that the attempt did not run.
         """
         now = self.now()
         with self._lock:
@@ -246,7 +248,7 @@
     ) -> None:
         attempt.ended_at = now
         attempt.status = reply.status
-        self._ended_ids.add(attempt.request_id)
+        self._ended_request_ids.add(attempt.request_id)
         self._open.pop(attempt.request_id, None)
         attempt.unreachable = not reached
         if reply.status == DISCONNECTED:
@@ -261,13 +263,13 @@
         final = status not in (DISCONNECTED, *REJECTED_STATUSES)
         late = now - request.created_at > LATENCY_OBJECTIVES_S[request.request_class] * MAX_LATENESS
         exhausted = len(request.attempts) >= self._scenario.load.tries
-        return not (self._over or final or late or exhausted)
+        return not (self._is_settling or final or late or exhausted)
 
     def _schedule_retry(self, request: ClientRequest, attempt: Attempt, reached: bool, now: float) -> None:
         rejected = attempt.status in REJECTED_STATUSES
-        # Nothing proves that a keyed request which failed or was disconnected did not run: it returns there.
-        stays = request.idempotency_key is not None and not rejected and reached
-        preferred = attempt.node if stays or not self._scenario.load.walk else attempt.node + 1
+        # A keyed request that failed or was disconnected may have run: it is retried at the same server.
+        same_server = request.idempotency_key is not None and not rejected and reached
+        preferred = attempt.node if same_server or not self._scenario.load.walk else attempt.node + 1
         delay_s = RETRY_AFTER_REJECTION_S if rejected else RETRY_AFTER_FAILURE_S
         self._schedule(now + delay_s, lambda: self._send_attempt(request, preferred))
 
--- a/cairnvane/testbed/cluster/machine_memory.py
+++ b/cairnvane/testbed/cluster/machine_memory.py
@@ -1,4 +1,4 @@
-"""Samples how much of each machine's memory is booked, as the operators count it."""
+"""Samples the booked memory of each machine, by the operators' way of counting."""
 
 from __future__ import annotations
 
@@ -11,32 +11,33 @@
 from .scenario import Scenario
 
 SAMPLE_INTERVAL_S = 0.02
-# A request counts from this time after it was written, or from its run on if that begins sooner.
+# A request is counted once this time has passed since it was written, or earlier if its run begins earlier.
 UNREAD_GRACE_S = 0.1
-# What piled up while a process could not read has left its machine so long after that.
+# Time after which the backlog from a period in which a process could not read has been worked off.
 CATCH_UP_S = 0.5
 
 
 class MemoryMonitor:
-    """A thread that samples while the load lasts. A request is booked until it is answered or given up."""
+    """Samples in a thread during the load. A request is booked until it is answered or times out."""
 
     def __init__(self, scenario: Scenario, nodes: Sequence[Node], load: LoadGenerator) -> None:
         self.most_kb = [0.0] * len(nodes)  # by server
         self._request_kb = scenario.server.request_kb
         self._nodes = nodes
         self._load = load
-        self._over = threading.Event()
-        # By server: the faults that last now, and until when its last one counts.
+        self._stopped = threading.Event()
+        # By server: the number of active faults that exempt it, and the time until which it is exempt after
+        # them.
         self._exempting_faults = [0] * len(nodes)
         self._exempt_until = [0.0] * len(nodes)
         self._thread = threading.Thread(target=self._run, name="memory monitor", daemon=True)
 
     def start(self) -> None:
-        """Begin to sample."""
+        """Start sampling."""
         self._thread.start()
 
     def exempt(self, number: int, begins: bool) -> None:
-        """Take no samples of a server, while it can't read or its link delays what is written to it."""
+        """Begin or end a period without samples: the server can't read, or its link delays its input."""
         self._exempting_faults[number] += 1 if begins else -1
         self._exempt_until[number] = time.monotonic() + CATCH_UP_S
 
@@ -44,12 +45,12 @@
         return self._exempting_faults[number] > 0 or time.monotonic() < self._exempt_until[number]
 
     def stop(self) -> None:
-        """Take no more samples."""
-        self._over.set()
+        """Stop sampling."""
+        self._stopped.set()
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._over.wait(SAMPLE_INTERVAL_S):
+        while not self._stopped.wait(SAMPLE_INTERVAL_S):
             open_attempts = self._load.open_attempts(self._load.now() - UNREAD_GRACE_S)
             for number, node in enumerate(self._nodes):
                 if self._is_exempt(number):
--- a/cairnvane/testbed/cluster/nodes.py
+++ b/cairnvane/testbed/cluster/nodes.py
@@ -1,4 +1,4 @@
-"""One server of the cluster: its versions, their worker pools, and the links to everything it talks to."""
+"""One server of the cluster: its versions, their worker pools, and the links to all its peers."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 from .scenario import Scenario
 
 STOP_MS = 3_000
-# Beyond its own time for a graceful shutdown, a server may take this long to end.
+# Time that a server may take to exit beyond its own timeout for a graceful shutdown.
 STOP_MARGIN_S = 2
-# Classes of requests that call the dependency.
-CALLING = frozenset({"price-view", "bid-commit"})
-# A machine survives so many runs for each core that want one, in the mean of this time.
+# Request classes that call the dependency.
+CALLING_CLASSES = frozenset({"price-view", "bid-commit"})
+# A machine survives this mean number of runnable runs per core over the window.
 MAX_OVERSUBSCRIPTION = 8.0
-CROWDING_WINDOW_S = 1.5
-# A run needs so many times the memory of a queued request.
+OVERSUBSCRIPTION_WINDOW_S = 1.5
+# Memory of a running request, as a multiple of that of a queued one.
 RUNNING_MEMORY_FACTOR = 16.0
-# The dependency survives as many calls in flight as it has slots, in the mean of this time.
+# The dependency survives a mean number of calls in flight up to its number of slots over this window.
 CALLS_WINDOW_S = 5.0
-# The longest that an abandoned call stays there.
-LINGER_S = 0.1
-# A run's work is drawn between these multiples of its mean.
-LEAST_WORK = 0.7
-MOST_WORK = 1.3
+# Maximum time that an abandoned call stays in flight at the dependency.
+MAX_ABANDONED_CALL_S = 0.1
+# The work of a run is drawn between these multiples of its mean.
+MIN_WORK_FACTOR = 0.7
+MAX_WORK_FACTOR = 1.3
 
 
 def _request_class(
-    name: str, weight: float, objective_ms: int, timeout_ms: int, **more: Any
+    name: str, weight: float, objective_ms: int, timeout_ms: int, **further_keys: Any
 ) -> dict[str, Any]:
     times = {"OnTimeUs": objective_ms * 1_000, "GiveUpUs": timeout_ms * 1_000}
-    return {"Name": name, "Worth": weight} | times | more
+    return {"Name": name, "Worth": weight} | times | further_keys
 
 
 def settings(scenario: Scenario) -> dict[str, Any]:
-    """The settings of each server, as the platform gives them: classes, machine, share of the dependency."""
+    """The settings of each server in the platform's format: classes, machine and share of the dependency."""
     keyed = {"Repeat": "guarded", "WindowUs": 17_364_000, "LateWorth": 0.2}
     return {
         "Classes": [
@@ -62,14 +62,14 @@
             "Downstream": "shared",
             "FairCalls": scenario.vault.slots / scenario.servers,
             "CallsOverUs": int(CALLS_WINDOW_S * 1e6),
-            "LingerUs": int(LINGER_S * 1e6),
+            "LingerUs": int(MAX_ABANDONED_CALL_S * 1e6),
             "ClientsTotal": scenario.load.balancers,
             "Meters": ["cpu_busy", "runnable", "mem_used", "sockets"],
             "TellsGone": True,
         },
         "Guarantees": {
             "TipMultiple": MAX_OVERSUBSCRIPTION,
-            "OverloadForUs": int(CROWDING_WINDOW_S * 1e6),
+            "OverloadForUs": int(OVERSUBSCRIPTION_WINDOW_S * 1e6),
             "StopSendingWithinUs": 2_500_000,
         },
         "Limits": {"MaxRetryAfterUs": 1_000_000},
@@ -83,19 +83,19 @@
 
 @dataclass
 class _Slot:
-    """A place for a version, with a pool that is reused; an upgraded server uses two of them in turn."""
+    """A worker pool that successive versions reuse; an upgraded server alternates between two slots."""
 
     label: str
     pool: StandInPool
     pool_address: str  # of the link to the pool
     operator: str | None  # the text of the operator's file
     used: bool = False
-    # By incarnation of the pool, the line of versions that ran in it.
+    # The line of versions that used the pool, by the pool's incarnation.
     line_by_incarnation: dict[int, int] = field(default_factory=dict)
 
 
 class Handover(NamedTuple):
-    """When the old version was asked to shut down, and when it had ended, in seconds of the load."""
+    """When the old version was asked to shut down and when it had exited, in seconds of the load."""
 
     began_at: float
     ended_at: float
@@ -103,17 +103,17 @@
 
 @dataclass(frozen=True)
 class NodeEnvironment:
-    """What all servers of a cluster share."""
+    """Objects that all servers of a cluster share."""
 
     network: Network
     vault: str  # address
     roster: str  # address
-    event: Callable[..., None]  # logs an event with its details
+    event: Callable[..., None]  # records an event with its details
     peers: Peers | None
 
 
 class Node:
-    """One server. It may be read from any thread; only one thread at a time may act on it."""
+    """One server. Any thread may read it; only one thread at a time may change it."""
 
     def __init__(
         self,
@@ -122,19 +122,19 @@
         seed: int,
         folder: Path,
         environment: NodeEnvironment,
-        refused: Callable[[], None],
+        on_refused: Callable[[], None],
         mutant: str = "",
     ) -> None:
-        """`refused` is called, in any thread, when a process that is up refuses a balancer's connection.
+        """`on_refused` is called, in any thread, when a running process refuses a balancer's connection.
 
         `mutant`: see `instrumented_server`.
         """
         self._mutant = mutant
-        # Guards the configuration's file: a process that starts reads it whole.
+        # Guards the configuration file, which must be complete while a process starts.
         self._configuration_lock = threading.Lock()
         self.name = scenario.names[number]
         self.versions: list[ServerVersion] = []
-        # Number of the current line of versions that took over from each other: keys are kept along a line.
+        # Number of the current line of versions, which take over from each other and keep idempotency keys.
         self.version_line = 0
         self.trouble: list[str] = []
         self._scenario = scenario
@@ -143,22 +143,22 @@
         self._network = environment.network
         self._event = environment.event
         self._peers = environment.peers
-        self._port: int | None = None  # of the process that listens
-        self._is_reachable = False  # balancers' link has led there since the last start
-        self._killed: set[ServerVersion] = set()  # by the scenario's will, not ended in order
-        self.links = self._create_links(environment, refused)
+        self._port: int | None = None  # of the listening process
+        self._is_reachable = False  # whether the balancers' link was opened after the last start
+        self._killed: set[ServerVersion] = set()  # killed by the testbed: their exit status is expected
+        self.links = self._create_links(environment, on_refused)
         upgraded = self.name in scenario.upgraded
         self._slots = [self._create_slot(slot) for slot in range(1 + upgraded)]
         folder.mkdir()
         self._has_administration = upgraded or self._peers is not None
-        self._site = self._create_site(folder)
+        self._configuration = self._create_configuration(folder)
         self._network.set_listening(self.links["balancers"][0], False)
 
     def _create_links(
-        self, environment: NodeEnvironment, refused: Callable[[], None]
+        self, environment: NodeEnvironment, on_refused: Callable[[], None]
     ) -> dict[str, list[TcpLink]]:
-        """The links by their other end; those to pools follow with their slots."""
-        from_balancers = TcpLink(f"{self._seed} {self.name} balancers", self._serving_address, refused)
+        """The links by their other end; links to pools are added when their slots are created."""
+        from_balancers = TcpLink(f"{self._seed} {self.name} balancers", self._serving_address, on_refused)
         return {
             "balancers": [self._network.add(from_balancers)],
             "vault": [self._link("vault", environment.vault)],
@@ -171,11 +171,11 @@
 
     def _create_slot(self, number: int) -> _Slot:
         scenario = self._scenario
-        half_ms = scenario.server.work_ms / 2
+        mean_half_ms = scenario.server.work_ms / 2
         pool = StandInPool(
             self._seed * 100 + self._number + 50 * number,
-            CALLING,
-            (half_ms * LEAST_WORK, half_ms * MOST_WORK),
+            CALLING_CLASSES,
+            (mean_half_ms * MIN_WORK_FACTOR, mean_half_ms * MAX_WORK_FACTOR),
             cores=scenario.server.cores,
         )
         link = self._link(f"pool{number or ''}", pool.address)
@@ -184,7 +184,7 @@
         operator = scenario.operator + members
         return _Slot(f"-{number}", pool, f"{HOST}:{link.port}", operator or None)
 
-    def _create_site(self, folder: Path) -> server_process.Site:
+    def _create_configuration(self, folder: Path) -> server_process.Site:
         return server_process.Site(
             folder,
             "",
@@ -198,12 +198,12 @@
 
     @property
     def port(self) -> int:
-        """Where balancers connect to."""
+        """The port to which balancers connect."""
         return self.links["balancers"][0].port
 
     @property
     def up(self) -> bool:
-        """Whether a process serves, and balancers can reach it."""
+        """Whether a process serves and balancers can reach it."""
         return self._port is not None and self._is_reachable
 
     def _serving_address(self) -> tuple[str, int] | None:
@@ -218,7 +218,7 @@
     # --- starts
 
     def _start_version(self, slot: _Slot, clock_s: float = 0.0) -> ServerVersion | None:
-        """A version in this slot; None if it did not come to listen."""
+        """Start a version in this slot; None if it does not listen in time."""
         if slot.used:
             slot.pool.restart()
         slot.used = True
@@ -234,10 +234,10 @@
         return version
 
     def _launch(self, slot: _Slot, clock_s: float) -> ServerVersion:
-        self._site.operator = slot.operator
+        self._configuration.operator = slot.operator
         administration = (HOST, free_ports(1)[0]) if self._has_administration else None
         return server_version.start(
-            self._site,
+            self._configuration,
             slot.pool,
             slot.pool_address,
             administration,
@@ -247,7 +247,7 @@
         )
 
     def start(self, clock_s: float = 0.0) -> None:
-        """Start a new incarnation, with a pool that has only just started; return once it listens."""
+        """Start a new incarnation with a restarted pool; return once it listens."""
         if self._running():
             return
         self.version_line += 1
@@ -263,9 +263,9 @@
         self._event("started", who=self.name, life=self.versions.index(version) + 1)
 
     def upgrade(self, clock: Callable[[], float]) -> Handover | None:
-        """Start a new version beside the one that serves, which then shuts down.
+        """Start a new version beside the serving one, then shut the old version down.
 
-        None if nothing serves, or if the new version was not ready in time. Times are those of `clock`.
+        None if no version serves or the new one was not ready in time. Times are those of `clock`.
         """
         old = self.versions[-1]
         if not old.server.alive():
@@ -286,12 +286,12 @@
         if new is not None and new.server.alive():
             self._killed.add(new)
             new.kill()
-        self.versions.sort(key=lambda version: version is old)  # the last one is the one that serves
+        self.versions.sort(key=lambda version: version is old)  # the last version is the serving one
 
     # --- ends
 
     def _watch(self, version: ServerVersion) -> None:
-        """Wait until a version ends; an end that was not to be is reported as trouble."""
+        """Wait until a version exits; an unexpected exit is reported as trouble."""
         status = version.server.process.wait()
         if self.versions[-1] is version and self._port is not None:
             self._port = None
@@ -302,39 +302,39 @@
             self._add_trouble(version, f"ended with {status}", 2)
 
     def kill(self) -> None:
-        """Send SIGKILL to all processes, as when the machine is lost."""
+        """Send SIGKILL to all processes, which simulates the loss of the machine."""
         for version in self._running():
             self._killed.add(version)
             version.kill()
 
     def stop(self, stopped: bool) -> None:
-        """Send SIGSTOP, or SIGCONT, to all processes."""
+        """Send SIGSTOP (`stopped`) or SIGCONT to all processes."""
         for version in self._running():
             version.server.process.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
     def shut_down(self) -> None:
-        """Send SIGTERM to all processes, which drain and end by themselves."""
+        """Send SIGTERM to all processes, which drain and exit."""
         for version in self._running():
             version.server.process.send_signal(signal.SIGTERM)
 
     def order(self, what: str, seconds: float) -> None:
-        """Order a fault within all processes, one of `instrumented_server.FAULTS`."""
+        """Inject a fault into all processes, one of `instrumented_server.FAULTS`."""
         for version in self._running():
-            version.server.order(self._site.folder, what, seconds)
+            version.server.order(self._configuration.folder, what, seconds)
 
     def reload(self, torn: bool) -> None:
-        """Send SIGHUP to all processes; `torn`: with half of the configuration in its file meanwhile."""
+        """Send SIGHUP to all processes; `torn`: the file holds half of the configuration meanwhile."""
         with self._configuration_lock:
             for version in self._running():
                 version.server.reload(torn)
 
     def set_work_factor(self, factor: float) -> None:
-        """Have the work of all runs take so many times as long, from the next half of each on."""
+        """Multiply the work of all runs by `factor`, starting with the next half of each run."""
         for slot in self._slots:
             slot.pool.work_factor = factor
 
     def freeze(self, frozen: bool) -> None:
-        """Have the cores of all its pools stand still, or work again."""
+        """Freeze or unfreeze the cores of all its pools."""
         for slot in self._slots:
             if frozen:
                 slot.pool.freeze()
@@ -342,12 +342,12 @@
                 slot.pool.thaw()
 
     def watch_requests(self, is_over: Callable[[str], bool]) -> None:
-        """Tell its pools which requests are over, by their ids."""
+        """Set the function by which its pools check whether a request id has ended."""
         for slot in self._slots:
             slot.pool.is_over = is_over
 
     def end(self) -> None:
-        """Shut everything down at the end of the run, and collect the alarms."""
+        """Shut everything down at the end of the run and collect the alarms."""
         for version in self._running():
             version.server.process.send_signal(signal.SIGCONT)
             if version.shut_down(STOP_MS / 1e3 + STOP_MARGIN_S) == -signal.SIGKILL:
@@ -361,20 +361,20 @@
 
     @property
     def running(self) -> int:
-        """How many runs its pools have now, on the cores or waiting for a call."""
+        """Number of runs in its pools, on the cores or waiting for a call."""
         return sum(slot.pool.running for slot in self._slots)
 
     @property
     def max_runnable(self) -> int:
-        """The most runs that wanted a core of it at a time."""
+        """Maximum number of runnable runs at a time."""
         return max(slot.pool.max_runnable for slot in self._slots)
 
     def highest_mean_runnable(self, window_s: float) -> float:
-        """The highest mean number of runs that wanted a core of it, over any window of so many seconds."""
+        """Highest mean number of runnable runs over any window of `window_s` seconds."""
         return max(slot.pool.highest_mean_runnable(window_s) for slot in self._slots)
 
     def run_records(self) -> dict[bytes, RunRecord]:
-        """What its pools recorded by body, as one server: runs by line of versions, not by incarnation."""
+        """The run records of all its pools by request body, merged; runs are counted by line of versions."""
         merged: dict[bytes, RunRecord] = {}
         for slot in self._slots:
             for body, record in slot.pool.records.items():
--- a/cairnvane/testbed/cluster/observations.py
+++ b/cairnvane/testbed/cluster/observations.py
@@ -1,6 +1,7 @@
-"""Compares what the servers' log lines say of each other with the faults that the testbed caused. No I/O.
+"""Checks the servers' views of each other, read from log lines, against the injected faults. No I/O.
 
-Only here is a server's own view used: that view itself is what is checked. Times are seconds of the load.
+This is the only check that uses what servers report, since their views are its subject. Times are seconds
+since the load's start.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from .scenario import Expect, Scenario
 
 _MEMBER_EVENT = log_events.pattern(log_events.MEMBER_EVENT)
-# The server names its member events `member.<event>` as well: the prefix of the template may stand twice.
+# The event name in the message may start with `member.` too, so the template's prefix may occur twice.
 _EVENT_DETAILS = re.compile(
     r"(?:member\.)?(?P<event>[a-z_]+) name=(?P<name>\S+) life=(?P<life>\S+)(?P<more>.*)"
 )
 _PARTITION_VERDICT = re.compile(r" verdict=(.*?) was=")
-# Log lines that are reported around failure verdicts on healthy servers.
+# Maximum number of events that are reported as context of failure verdicts on healthy servers.
 MAX_EVENTS_SHOWN = 40
-# By these events a server knows that an incarnation has ended.
+# Events by which a server learns that an incarnation has ended.
 TERMINAL_EVENTS = ("failed", "left")
 
 
 class MemberEvent(NamedTuple):
-    """What one log line says of a member."""
+    """A member event parsed from a log line."""
 
     event: str  # such as `failed` or `suspected`
     member: str
@@ -34,7 +35,7 @@
 
 
 def read_member_event(line: str) -> MemberEvent | None:
-    """The member event of a log line; None if the line is no such event."""
+    """Parse a log line; None if it is not a member event."""
     message = _MEMBER_EVENT.search(line)
     if message is None:
         return None
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Observation:
-    """What one server logged of a member, perhaps of itself."""
+    """An event that one server logged about a member, possibly itself."""
 
     at: float
     observer: str
@@ -58,30 +59,32 @@
     def own_verdict(self) -> bool:
         """Whether the observer itself declared the member failed.
 
-        Its own verdict names the accusers; a verdict that it heard of by gossip does not.
+        A server's own verdict names the accusers; a verdict received by gossip does not.
         """
         return self.event == "failed" and "accusers=" in self.details
 
     @property
     def own_suspicion(self) -> bool:
-        """Whether the observer itself got no answer from the member."""
+        """Whether the observer itself suspects the member, which did not answer its probe."""
         return self.event == "suspected" and " why=" in self.details
 
 
 def read_observations(
-    observer: str, lines: Sequence[str], said_at: Sequence[float], begin: float
+    observer: str, lines: Sequence[str], line_times: Sequence[float], load_start: float
 ) -> list[Observation]:
-    """The observations of one process; `begin` is the start of the load on the clock of `said_at`."""
+    """The observations of one process; `load_start` is the start of the load on the clock of `line_times`."""
     observations = []
-    for at, line in zip(said_at, lines, strict=False):
+    for at, line in zip(line_times, lines, strict=False):
         if (event := read_member_event(line)) is not None:
-            observations.append(Observation(at - begin, observer, event.event, event.member, event.details))
+            observations.append(
+                Observation(at - load_start, observer, event.event, event.member, event.details)
+            )
     return observations
 
 
 @dataclass(frozen=True)
 class KilledServer:
-    """A server that was killed, and the servers that were up and reachable then and have to detect it."""
+    """A killed server, and the servers that were up and reachable at that time and must detect the kill."""
 
     at: float
     server: str
@@ -90,7 +93,7 @@
 
 @dataclass
 class Traffic:
-    """What went over the links between servers, second by second, both directions together."""
+    """Traffic on the links between servers, per second, both directions combined."""
 
     members: int
     bytes_by_second: list[int] = field(default_factory=list)
@@ -98,23 +101,23 @@
 
     @property
     def kb_a_second(self) -> float:
-        """Of one member, over the whole load."""
+        """Mean KB per second and member over the whole load."""
         total_kb = sum(self.bytes_by_second) / 1_024
         return total_kb / max(1, len(self.bytes_by_second)) / self.members
 
     @property
     def peak_kb(self) -> float:
-        """Of one member, in the second with the most traffic."""
+        """KB per member in the second with the most traffic."""
         return max(self.bytes_by_second, default=0) / 1_024 / self.members
 
     @property
     def datagrams_a_second(self) -> float:
-        """Of one member, over the whole load."""
+        """Mean datagrams per second and member over the whole load."""
         return self.datagrams / max(1, len(self.bytes_by_second)) / self.members
 
 
 def detection_time(killed: KilledServer, observations: Iterable[Observation]) -> float | None:
-    """Seconds until all observers had logged the end of a killed server; None if one never did."""
+    """Seconds until all observers had logged the end of a killed server; None if any never did."""
     detected_at: dict[str, float] = {}
     for observation in observations:
         if (
@@ -134,15 +137,17 @@
 class Views:
     """The servers' views of each other over one run; the names are the keys of the JSON report."""
 
-    called_dead: int = 0  # a server's own failure verdicts on servers that no fault was applied to
+    called_dead: int = 0  # servers' own failure verdicts on servers without an injected fault
     suspected: int = 0  # suspicions of such servers
     found_s: list[float] = field(default_factory=list)  # detection time of each killed server
     not_found: int = 0  # killed servers that some observer never detected
-    agreed_s: float | None = None  # from the load's end until all saw each other; None: not, or not asked
-    kb_a_second: float = 0.0  # sent by a member to others
+    agreed_s: float | None = (
+        None  # from the load's end until all views agreed; None: they did not, or it was not expected
+    )
+    kb_a_second: float = 0.0  # sent by a member to others, mean
     peak_kb: float = 0.0
     datagrams_a_second: float = 0.0
-    cpu: float = 0.0  # of a core, the mean of the processes that were alive at the load's end
+    cpu: float = 0.0  # fraction of a core, mean of the processes alive at the load's end
 
     def line(self) -> str:
         """The report for a terminal."""
@@ -158,14 +163,14 @@
 
 
 def _false_verdicts(
-    expect: Expect, views: Views, observations: Sequence[Observation], unhurt: set[str]
+    expect: Expect, views: Views, observations: Sequence[Observation], healthy: set[str]
 ) -> list[str]:
     if expect.called_dead is None or views.called_dead <= expect.called_dead:
         return []
     accused = {
         observation.member
         for observation in observations
-        if observation.own_verdict and observation.member in unhurt
+        if observation.own_verdict and observation.member in healthy
     }
     context = [
         f"  {observation.at:.2f} s {observation.observer}: {observation.event} "
@@ -196,7 +201,7 @@
 
 
 def _missing_events(expect: Expect, observations: Sequence[Observation]) -> list[str]:
-    """Stalls that servers did not log of themselves, though they were expected to."""
+    """Stalls that servers were expected to log about themselves and did not."""
     expected = [("held_up", name) for name in expect.held_up]
     expected += [("host_held_up", name) for name in expect.host_held_up]
     logged = {(observation.event, observation.observer) for observation in observations}
@@ -235,20 +240,20 @@
     scenario: Scenario,
     observations: Sequence[Observation],
     kills: Sequence[KilledServer],
-    hurt: set[str],
+    faulted: set[str],
     traffic: Traffic,
     agreed_s: float | None,
 ) -> tuple[Views, list[str]]:
-    """The views, and the expectations of the scenario on them that were not met.
+    """The servers' views, and the scenario's expectations on them that were not met.
 
-    `hurt`: servers that the scenario applied a fault to.
+    `faulted`: servers with an injected fault.
     """
     expect = scenario.expect
-    unhurt = set(scenario.names) - hurt
+    healthy = set(scenario.names) - faulted
     times = [detection_time(killed, observations) for killed in kills]
     views = Views(
-        called_dead=sum(one.own_verdict and one.member in unhurt for one in observations),
-        suspected=sum(one.own_suspicion and one.member in unhurt for one in observations),
+        called_dead=sum(seen.own_verdict and seen.member in healthy for seen in observations),
+        suspected=sum(seen.own_suspicion and seen.member in healthy for seen in observations),
         found_s=[time_s for time_s in times if time_s is not None],
         not_found=times.count(None),
         agreed_s=agreed_s,
@@ -256,7 +261,7 @@
         peak_kb=traffic.peak_kb,
         datagrams_a_second=traffic.datagrams_a_second,
     )
-    unmet = _false_verdicts(expect, views, observations, unhurt)
+    unmet = _false_verdicts(expect, views, observations, healthy)
     if expect.agree_within is not None and agreed_s is None:
         unmet.append(f"the servers do not agree within {expect.agree_within:g} s")
     unmet += _slow_detections(expect, kills, times)
--- a/cairnvane/testbed/cluster/peers.py
+++ b/cairnvane/testbed/cluster/peers.py
@@ -1,4 +1,4 @@
-"""The links between the servers, and the configuration by which they find each other through them."""
+"""The links between the servers, and the configuration that routes membership traffic over them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class Endpoint(NamedTuple):
-    """A version of a server: the server's number, and its slot, of which an upgraded server has two."""
+    """One version of a server: the server's number and its slot. An upgraded server has two slots."""
 
     server: int
     slot: int
 
 
 class _PairLinks(NamedTuple):
-    """The links between two endpoints: datagrams, and connections opened by the first and by the second."""
+    """The links between two endpoints: datagrams, connections from the first, connections from the second."""
 
     datagrams: UdpLink
     there: TcpLink
@@ -34,7 +34,7 @@
 
 
 class PeerTraffic(NamedTuple):
-    """What members have sent to each other so far, full views included."""
+    """Totals of what members have sent to each other so far, including full state exchanges."""
 
     bytes: int
     datagrams: int
@@ -46,13 +46,13 @@
 
 
 class Peers:
-    """For each pair of endpoints one datagram link, and on the same two ports a TCP link each way."""
+    """For each pair of endpoints, a datagram link and, on its two ports, a TCP link in each direction."""
 
     def __init__(self, scenario: Scenario, seed: int, network: Network) -> None:
-        self.administration: dict[int, tuple[str, int]] = {}  # by server, of the version that serves
+        self.administration: dict[int, tuple[str, int]] = {}  # by server, of the serving version
         self._network = network
         self._names = scenario.names
-        first_ports = free_ports(scenario.servers, above=1)  # a new version listens one above
+        first_ports = free_ports(scenario.servers, above=1)  # a new version listens on the next port
         self._addresses: dict[Endpoint, tuple[str, int]] = {
             Endpoint(number, slot): (HOST, first_ports[number] + slot)
             for number, name in enumerate(scenario.names)
@@ -68,7 +68,7 @@
     def _connect(self, first: Endpoint, second: Endpoint, seed: str) -> None:
         first_address = self._addresses[first]
         second_address = self._addresses[second]
-        # TCP first: their ports are taken by nobody else, and so are free for datagrams too.
+        # TCP first: the testbed has reserved its ports, so they are also free for datagrams.
         there = self._network.add(TcpLink(f"{seed} view", lambda: second_address))
         back = self._network.add(TcpLink(f"{seed} view back", lambda: first_address))
         datagrams = self._network.add(
@@ -80,7 +80,7 @@
         self._routes[second][_join(first_address)] = f"{HOST}:{back.port}"
 
     def operator_section(self, number: int, slot: int) -> str:
-        """The section of the operator's file of this version."""
+        """The `members` section of this version's operator file."""
         contacts = list(range(len(self._names)))[:MAX_CONTACTS]
         members = {
             "listen": _join(self._addresses[Endpoint(number, 0)]),
@@ -92,7 +92,7 @@
         return f"\nmembers: {json.dumps(members)}\n"
 
     def set_fault(self, first: int, second: int, way: str, event: int, fault: LinkFault | None) -> None:
-        """Begin a fault of the links between two servers, or (None) end it; `there` is from the first."""
+        """Apply a fault to the links between two servers; None removes it. `there` is from the first."""
         if first > second:
             first, second, way = second, first, _REVERSED[way]
         for links in self._links[first, second]:
@@ -101,7 +101,7 @@
             self._network.set_fault(links.back, _REVERSED[way], event, fault)
 
     def all_see_each_other(self, up: Iterable[int]) -> bool:
-        """Whether each of these servers reports all the others as alive, and nobody else."""
+        """Whether each of these servers reports exactly the others as alive."""
         numbers = list(up)
         names = {self._names[number] for number in numbers}
         for number in numbers:
@@ -111,7 +111,7 @@
         return True
 
     def _reported_alive(self, number: int) -> set[str] | None:
-        """Names of the members that a server reports as alive; None if it gives no report."""
+        """Names of the members that a server reports as alive; None if it does not respond."""
         url = f"http://{_join(self.administration[number])}/-/members"
         try:
             with urllib.request.urlopen(url, timeout=HTTP_TIMEOUT_S) as response:
@@ -121,7 +121,7 @@
         return {member["name"] for member in report["members"] if member["status"] == "alive"}
 
     def traffic(self) -> PeerTraffic:
-        """What members have sent to each other so far."""
+        """Totals of the traffic between members so far."""
         links = [link for pairs in self._links.values() for pair in pairs for link in pair]
         return PeerTraffic(
             sum(link.counts["bytes"] for link in links), sum(link.counts["datagrams"] for link in links)
--- a/cairnvane/testbed/cluster/scenario_file.py
+++ b/cairnvane/testbed/cluster/scenario_file.py
@@ -1,6 +1,6 @@
-"""Reads a scenario from YAML and checks it. No I/O but one read.
+"""Reads a scenario from YAML and validates it. Its only I/O is reading the file.
 
-Messages name the file, the line, the key and the value. `docs/testbed.md` describes the keys.
+Error messages name the file, the line, the key and the value. `docs/testbed.md` describes the keys.
 """
 
 from __future__ import annotations
@@ -15,14 +15,22 @@
 from ...config import ConfigurationError
 from ...membership.partition_detector import Verdict as PartitionVerdict
 from .link_conditions import LINK_FAULT_KINDS, UDP_ONLY_KINDS
-from .scenario import ALL, SHARED, TO_LOAD, TO_SERVERS, TO_VAULT, Fault, Scenario
+from .scenario import (
+    ALL_SERVERS,
+    DEPENDENCY_FAULTS,
+    LOAD_FAULTS,
+    NON_SERVER_ENDS,
+    SERVER_FAULTS,
+    Fault,
+    Scenario,
+)
 
-# One developer's machine carries so many servers, each with stand-ins of its own, and one testbed process
-# generates the load of all.
+# One developer's machine can run this many servers, each with its own stand-ins, and one testbed process can
+# generate this load.
 MAX_SERVERS = 24
 MAX_SECONDS = 7_200.0
 MAX_RATE = 400.0
-# A fault that is repeated begins again after this time at the least, and never before it is over.
+# Minimum interval at which a fault is repeated; it is never repeated before it has ended.
 MIN_REPEAT_S = 0.05
 # Expectations on the servers' views of each other.
 MEMBER_EXPECTATIONS = (
@@ -35,15 +43,24 @@
     "kb_a_second",
     "peak_kb",
 )
-# Faults that last for a time.
-_LASTING = ("stop", "hold", "busy", "freeze", "heavy", *TO_VAULT, *TO_LOAD, *LINK_FAULT_KINDS)
+# Faults with a duration.
+_FAULTS_WITH_DURATION = (
+    "stop",
+    "hold",
+    "busy",
+    "freeze",
+    "heavy",
+    *DEPENDENCY_FAULTS,
+    *LOAD_FAULTS,
+    *LINK_FAULT_KINDS,
+)
 
-# An error of msgspec, with the path of the value.
+# An error message of msgspec, which may end with the path of the value.
 _MSGSPEC_ERROR = re.compile(r"^(?P<what>.*?)(?: - at `\$(?P<path>[^`]*)`)?$", re.S)
 
 
 def _line_numbers(node: yaml.Node | None, path: str = "") -> dict[str, int]:
-    """The line number of each value, by its path as in `.faults[2].at`."""
+    """Line numbers of all values by path, such as `.faults[2].at`."""
     found = {} if node is None else {path: node.start_mark.line + 1}
     if isinstance(node, yaml.MappingNode):
         for key, value in node.value:
@@ -56,13 +73,13 @@
 
 
 class _Validator:
-    """Checks the values of one file; each check raises `ConfigurationError` with the line."""
+    """Validates the values of one file; a failed check raises `ConfigurationError` with the line."""
 
     def __init__(self, name: str, lines: dict[str, int]) -> None:
         self._name, self._lines = name, lines
 
     def error(self, path: str, problem: str) -> ConfigurationError:
-        """An error at a path; its line is that of the nearest enclosing value that stands in the file."""
+        """An error at a path, with the line of the nearest enclosing value that the file contains."""
         nearest = path
         while nearest not in self._lines and nearest:
             nearest = nearest[: max(nearest.rfind("."), nearest.rfind("["), 0)]
@@ -70,13 +87,13 @@
         key = path.lstrip(".")
         return ConfigurationError(f"{self._name}, line {line}: {key + ': ' if key else ''}{problem}")
 
-    def between(self, path: str, value: float, least: float, most: float) -> None:
+    def between(self, path: str, value: float, minimum: float, maximum: float) -> None:
         """Check that a number is within its bounds."""
-        if not least <= value <= most:
-            raise self.error(path, f"{value:g} is not between {least:g} and {most:g}")
+        if not minimum <= value <= maximum:
+            raise self.error(path, f"{value:g} is not between {minimum:g} and {maximum:g}")
 
     def one_of(self, path: str, value: str, allowed: tuple[str, ...] | list[str]) -> None:
-        """Check that a word is one of the allowed ones."""
+        """Check that a value is one of the allowed ones."""
         if value not in allowed:
             raise self.error(path, f"{value!r} is none of {', '.join(allowed)}")
 
@@ -88,20 +105,22 @@
         names_by_path = (
             [(f"{path}.link[{number}]", end)]
             if isinstance(end, str)
-            else [(f"{path}.link[{number}][{place}]", name) for place, name in enumerate(end)]
+            else [(f"{path}.link[{number}][{position}]", name) for position, name in enumerate(end)]
         )
         for end_path, name in names_by_path:
-            validator.one_of(end_path, name, [*scenario.names, ALL, *SHARED])
+            validator.one_of(end_path, name, [*scenario.names, ALL_SERVERS, *NON_SERVER_ENDS])
     first, second = scenario.ends(fault)
-    is_shared = [bool(set(names) & set(SHARED)) for names in (first, second)]
+    is_shared = [bool(set(names) & set(NON_SERVER_ENDS)) for names in (first, second)]
     if all(is_shared) or not scenario.links(fault):
-        raise validator.error(f"{path}.link", "one end at the least is a server, and the other is another")
+        raise validator.error(
+            f"{path}.link", "at least one end must be a server, and the other end a different one"
+        )
     if fault.way != "both" and set(first) & set(second):
-        raise validator.error(f"{path}.way", f"{fault.way!r} says nothing where a server stands at both ends")
+        raise validator.error(f"{path}.way", f"{fault.way!r} is ambiguous where a server is at both ends")
     if not any(is_shared) and not scenario.members:
-        raise validator.error(f"{path}.link", "there is a link between servers only with `members: true`")
+        raise validator.error(f"{path}.link", "links between servers exist only with `members: true`")
     if fault.do in UDP_ONLY_KINDS and any(is_shared):
-        raise validator.error(f"{path}.do", f"{fault.do!r} exists between servers alone, which speak UDP")
+        raise validator.error(f"{path}.do", f"{fault.do!r} is only possible between servers, which use UDP")
 
 
 def _check_members(validator: _Validator, scenario: Scenario) -> None:
@@ -120,7 +139,9 @@
 
 def _check_fault(validator: _Validator, scenario: Scenario, number: int) -> None:
     fault, path = scenario.faults[number], f".faults[{number}]"
-    validator.one_of(f"{path}.do", fault.do, [*TO_SERVERS, *TO_VAULT, *TO_LOAD, *LINK_FAULT_KINDS])
+    validator.one_of(
+        f"{path}.do", fault.do, [*SERVER_FAULTS, *DEPENDENCY_FAULTS, *LOAD_FAULTS, *LINK_FAULT_KINDS]
+    )
     validator.between(f"{path}.at", fault.at, 0.0, scenario.seconds)
     validator.between(f"{path}.for", fault.duration, 0.0, scenario.seconds - fault.at)
     validator.between(f"{path}.jitter", fault.jitter, 0.0, scenario.seconds - fault.at - fault.duration)
@@ -136,24 +157,24 @@
 
 
 def _check_duration(validator: _Validator, fault: Fault, path: str) -> None:
-    if fault.do in _LASTING and not fault.duration:
-        raise validator.error(f"{path}.for", f"{fault.do!r} needs to say for how many seconds")
-    if fault.do not in _LASTING and fault.duration:
-        raise validator.error(f"{path}.for", f"{fault.do!r} happens at once and lasts for no time")
+    if fault.do in _FAULTS_WITH_DURATION and not fault.duration:
+        raise validator.error(f"{path}.for", f"{fault.do!r} needs a duration in seconds")
+    if fault.do not in _FAULTS_WITH_DURATION and fault.duration:
+        raise validator.error(f"{path}.for", f"{fault.do!r} is instantaneous and takes no duration")
 
 
 def _check_target(validator: _Validator, scenario: Scenario, fault: Fault, path: str) -> None:
     if fault.do in LINK_FAULT_KINDS:
         _check_link(validator, scenario, fault, path)
     elif fault.by and fault.do not in ("clock", "start"):
-        raise validator.error(f"{path}.by", f"{fault.do!r} sets no clock")
+        raise validator.error(f"{path}.by", f"{fault.do!r} does not change the clock")
     elif fault.do == "clock" and not fault.by:
-        raise validator.error(f"{path}.by", "'clock' needs to say by how many seconds")
+        raise validator.error(f"{path}.by", "'clock' needs the number of seconds")
     elif fault.link:
-        raise validator.error(f"{path}.link", f"{fault.do!r} is done to no link")
-    elif fault.do in TO_SERVERS:
+        raise validator.error(f"{path}.link", f"{fault.do!r} does not apply to a link")
+    elif fault.do in SERVER_FAULTS:
         validator.one_of(f"{path}.who", fault.who, [*scenario.names, "any"])
-    elif fault.do in TO_VAULT:
+    elif fault.do in DEPENDENCY_FAULTS:
         validator.one_of(f"{path}.who", fault.who or "vault", ["vault"])
 
 
@@ -181,7 +202,7 @@
 
 
 def parse(text: str, name: str) -> Scenario:
-    """Read and check a scenario; `ConfigurationError` names the line and the value."""
+    """Parse and validate a scenario; `ConfigurationError` names the line and the value."""
     try:
         lines = _line_numbers(yaml.compose(text, Loader=yaml.SafeLoader))
         tree: Any = yaml.safe_load(text)
@@ -202,7 +223,7 @@
 
 
 def load(path: Path) -> Scenario:
-    """Read and check a file; `ConfigurationError` names what is wrong with it."""
+    """Load and validate a file; `ConfigurationError` describes the first problem."""
     try:
         return parse(path.read_text(), str(path))
     except OSError as error:
@@ -212,5 +233,5 @@
 
 
 def shipped() -> Path:
-    """The short scenario that is run where none is named."""
+    """Path of the short scenario that is the command's default."""
     return Path(__file__).parent / "scenarios" / "first.yaml"
--- a/cairnvane/testbed/cluster/scenario_run.py
+++ b/cairnvane/testbed/cluster/scenario_run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario: starts the cluster, generates load, follows the schedule, and checks the records."""
+"""Runs a scenario: starts the cluster, generates load, executes the schedule and checks the records."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 from .machine_memory import MemoryMonitor
 from .nodes import (
     CALLS_WINDOW_S,
-    CROWDING_WINDOW_S,
-    LINGER_S,
+    MAX_ABANDONED_CALL_S,
     MAX_OVERSUBSCRIPTION,
+    OVERSUBSCRIPTION_WINDOW_S,
     Node,
     NodeEnvironment,
 )
 from .observations import KilledServer, Observation, Traffic, check_views, read_observations
 from .peers import Peers, PeerTraffic
-from .scenario import SILENCING, Scenario
+from .scenario import SILENCING_FAULTS, Scenario
 from .schedule import Step, draw, link_fault
 
-# Interval of the lines that report progress.
+# Interval of progress lines.
 PROGRESS_INTERVAL_S = 1.0
-# Number of the latest requests whose attempts a line of progress counts.
+# Number of latest requests whose attempts a progress line counts.
 PROGRESS_REQUESTS = 400
-# Faults of a balancer's link that end connections, or keep answers back.
+# Faults of a balancer's link that end connections or delay answers.
 BREAKING_LINK_FAULTS = ("cut", "stall", "reset", "drop", "cap")
-# Faults in which a process reads nothing: what is written to it meanwhile is not its own doing.
-UNREADING_FAULTS = ("stop", "hold", "busy")
-# The shortest wait between two looks at the schedule.
+# Faults during which a process reads nothing, so that it can't limit what is written to it.
+FAULTS_WITHOUT_READING = ("stop", "hold", "busy")
+# Minimum wait between two checks of the schedule.
 MIN_WAIT_S = 0.005
 AGREEMENT_POLL_S = 0.05
 # Fields of /proc/PID/stat after the name of the process: clock ticks in user and system mode, and at start.
@@ -59,29 +59,29 @@
 
 
 def scheduled_dependency_fault_s(steps: Sequence[Step]) -> float:
-    """Seconds during which the scenario has the dependency faulty."""
+    """Total duration in seconds of the scenario's faults of the dependency."""
     return sum(step.fault.duration for step in steps if step.begins and step.who == "vault")
 
 
 class EventLog:
-    """The testbed's record: one JSON object a line, times in seconds of the load."""
+    """The testbed's event log: one JSON object per line, with times in seconds of the load."""
 
     def __init__(self, path: Path | None) -> None:
-        """Write to `path`; None: nowhere."""
+        """Write to `path`; None discards all events."""
         self._file = path.open("w") if path is not None else None
         self._lock = threading.Lock()  # guards the file
         self._start = time.monotonic()
 
     def begin(self) -> None:
-        """Count times from now on."""
+        """Start counting times now."""
         self._start = time.monotonic()
 
-    def __call__(self, what: str, **more: Any) -> None:
-        """Record an event, with the seconds since `begin`."""
+    def __call__(self, event_name: str, **details: Any) -> None:
+        """Record an event with the time since `begin`."""
         with self._lock:
             if self._file is not None:
                 at = round(time.monotonic() - self._start, 3)
-                self._file.write(json.dumps({"t": at, "event": what} | more) + "\n")
+                self._file.write(json.dumps({"t": at, "event": event_name} | details) + "\n")
 
     def close(self) -> None:
         """Close the file; later events are dropped."""
@@ -92,7 +92,7 @@
 
 
 def _outcome(status: int) -> str:
-    """What a line of progress calls an attempt that ended with this status."""
+    """The name that progress lines use for attempts with this status."""
     if status in SERVED_STATUSES:
         return "served"
     if status in REJECTED_STATUSES:
@@ -113,7 +113,7 @@
         say: Callable[[str], None] = lambda line: None,
         mutant: str = "",
     ) -> None:
-        """`events`: the file of the event log. `say` is called with each line of progress.
+        """`events`: the file of the event log. `say` is called with each progress line.
 
         `mutant`: see `instrumented_server`.
         """
@@ -125,7 +125,7 @@
         self._event = EventLog(events)
         self._network = Network()
         self._vault = StandInVault(
-            scenario.vault.call_ms / 1e3, scenario.vault.slots, scenario.vault.falls_at, LINGER_S
+            scenario.vault.call_ms / 1e3, scenario.vault.slots, scenario.vault.falls_at, MAX_ABANDONED_CALL_S
         )
         self._roster = StandInRoster()
         self._peers = Peers(scenario, seed, self._network) if scenario.members else None
@@ -158,7 +158,7 @@
         ]
 
     def run(self) -> Verdict:
-        """Run the scenario, and check what was recorded."""
+        """Run the scenario and check the records."""
         try:
             self._in_parallel(node.start for node in self.nodes)
             started = all(node.up for node in self.nodes)
@@ -167,7 +167,7 @@
                 self._traffic_before = self._peers.traffic()
             if started:
                 self._run_load()
-            return self._end()
+            return self._finish()
         finally:
             self._event.close()
 
@@ -188,18 +188,18 @@
             thread.join()
 
     def _follow_schedule(self, load: threading.Thread) -> None:
-        """Execute the steps, and report progress, while the load lasts."""
+        """Execute due steps and report progress until the load ends."""
         steps = list(self._steps)
-        shown_at = 0.0
+        reported_at = 0.0
         while load.is_alive():
             now = self._load.now()
             while steps and steps[0].at <= now:
                 self._execute(steps.pop(0))
-            if now >= shown_at + PROGRESS_INTERVAL_S:
-                shown_at += PROGRESS_INTERVAL_S
-                self._show_progress(shown_at)
+            if now >= reported_at + PROGRESS_INTERVAL_S:
+                reported_at += PROGRESS_INTERVAL_S
+                self._report_progress(reported_at)
             next_step_at = steps[0].at if steps else self._scenario.seconds
-            next_at = min(next_step_at, shown_at + PROGRESS_INTERVAL_S)
+            next_at = min(next_step_at, reported_at + PROGRESS_INTERVAL_S)
             load.join(max(MIN_WAIT_S, min(next_at - self._load.now(), PROGRESS_INTERVAL_S)))
 
     # --- faults
@@ -214,16 +214,16 @@
             self._apply_to_vault(step)
         elif step.do == "surge":
             self._load.rate_factor = step.fault.times if step.begins else 1.0
-        else:  # in a thread of its own, since it takes time: the next step must not wait for it
+        else:  # in its own thread, since it may take long and must not delay the next step
             threading.Thread(target=self._apply_to_node, args=(step,), daemon=True).start()
 
     def _connection_refused(self, number: int) -> None:
-        """A server takes no more connections: an attempt that met this was never read."""
+        """Excuse attempts at a server that refuses connections: it never read them."""
         now = self._load.now()
         self._windows.append(FaultWindow(number, now, now))
 
     def _record_window(self, step: Step, number: int) -> None:
-        """Record the window of a fault of this server, once the fault is over."""
+        """Record the fault window of this server when the fault ends."""
         if step.begins:
             self._fault_began[step.number] = step.at
         else:
@@ -239,7 +239,7 @@
             self._peers.set_fault(first_number, second_number, step.fault.way, step.number, fault)
             return
         node, other = (first, second) if first in names else (second, first)
-        # The scenario's `there` is from the end that it names first, the link's from the end that connects.
+        # In a scenario `there` is from the end that it names first, in a link from the end that connects.
         connecting = other if other == "balancers" else node
         way = step.fault.way
         if way != "both" and connecting != first:
@@ -267,7 +267,7 @@
     def _apply_to_node(self, step: Step) -> None:
         number = self._scenario.names.index(step.who)
         node = self.nodes[number]
-        if step.do in UNREADING_FAULTS:
+        if step.do in FAULTS_WITHOUT_READING:
             self._memory.exempt(number, step.begins)
         if step.do == "kill":
             self._kill(step, number)
@@ -294,7 +294,8 @@
                 window = FaultWindow(number, handover.began_at, handover.ended_at, handover=True)
                 self._windows.append(window)
         else:
-            # What was read is answered; what meets the closed listener is not, and is retried elsewhere.
+            # Requests that were read are answered; those at the closed listener are not, and are retried
+            # elsewhere.
             self._windows.append(FaultWindow(number, step.at, step.at))
             node.shut_down()
             if step.do == "terminate":
@@ -302,11 +303,13 @@
 
     def _kill(self, step: Step, number: int) -> None:
         node = self.nodes[number]
-        # A server that is stopped or held detects the kill later.
-        silenced = {other.who for other in self._steps if other.do in SILENCING and other.fault.duration}
+        # A server that is stopped or held detects the kill late, so it is not required to detect it in time.
+        silenced = {
+            other.who for other in self._steps if other.do in SILENCING_FAULTS and other.fault.duration
+        }
         up = {other.name for other in self.nodes if other.up}
         if not node.up:
-            return  # it has ended by itself: nothing that it had read is excused
+            return  # it exited by itself: attempts that it had read are not excused
         observers = frozenset(up - {node.name} - silenced)
         self._kills.append(KilledServer(self._load.now(), node.name, observers))
         node.kill()
@@ -315,15 +318,15 @@
     # --- progress
 
     def _count_traffic(self) -> None:
-        """Count what went between the servers since the last call, a second ago."""
+        """Count the traffic between the servers since the last call, one second ago."""
         if self._peers is not None:
             before = self._traffic_before
             self._traffic_before = self._peers.traffic()
             self._traffic.bytes_by_second.append(self._traffic_before.bytes - before.bytes)
             self._traffic.datagrams += self._traffic_before.datagrams - before.datagrams
 
-    def _show_progress(self, second: float) -> None:
-        """Report the last second, and the share in time of requests that had time to be served."""
+    def _report_progress(self, second: float) -> None:
+        """Report the last second, and the share served in time of requests old enough to have been served."""
         self._count_traffic()
         requests = list(self._load.requests)
         outcomes: Counter[str] = Counter()
@@ -341,7 +344,7 @@
     # --- the end
 
     def _agreement_s(self) -> float | None:
-        """Seconds until all that are up see each other; None: not within the time that is expected."""
+        """Seconds until all running servers see each other; None if that exceeds the expected time."""
         within = self._scenario.expect.agree_within
         if self._peers is None or within is None:
             return None
@@ -359,35 +362,35 @@
             for node in self.nodes
             for version in node.versions
             for observation in read_observations(
-                node.name, version.server.lines, version.server.said_at, self._load.start
+                node.name, version.server.lines, version.server.line_times, self._load.start
             )
         ]
         return sorted(observations, key=lambda observation: observation.at)
 
     def _check_views(self, verdict: Verdict, agreed_s: float | None, cpu: list[float]) -> None:
-        """Check what the scenario expects of the servers' views of each other."""
+        """Check the scenario's expectations on the servers' views of each other."""
         if self._peers is None:
             return
-        hurt = {step.who for step in self._steps if step.do in SILENCING}
+        faulted = {step.who for step in self._steps if step.do in SILENCING_FAULTS}
         verdict.views, unmet = check_views(
-            self._scenario, self._observations(), self._kills, hurt, self._traffic, agreed_s
+            self._scenario, self._observations(), self._kills, faulted, self._traffic, agreed_s
         )
         verdict.views.cpu = statistics.mean(cpu) if cpu else 0.0
         verdict.short += unmet
 
     def _describe_lost_attempts(self, verdict: Verdict) -> None:
-        """Add what servers logged, and their links counted, around the attempts that were lost."""
+        """Add the log lines of servers and the counts of their links around lost attempts."""
         for number, begins_at, ends_at in verdict.lost_at:
             node = self.nodes[number]
             for version in node.versions:
-                for read_at, line in zip(version.server.said_at, version.server.lines, strict=False):
+                for read_at, line in zip(version.server.line_times, version.server.lines, strict=False):
                     at = read_at - self._load.start
                     if begins_at - FAULT_MARGIN_S < at < ends_at + FAULT_MARGIN_S:
                         verdict.lost_tries.append(f"{node.name} at {at:.2f} s: {line}")
             verdict.lost_tries.append(f"{node.name}: {dict(node.links['balancers'][0].counts)}")
 
     def _add_measurements(self, verdict: Verdict) -> None:
-        """What the stand-ins and the load generator measured."""
+        """Add the measurements of the stand-ins and the load generator."""
         verdict.vault_most = self._vault.max_in_flight
         verdict.vault_fell = self._vault.outages
         fault_s = scheduled_dependency_fault_s(self._steps) + self._vault.outages * OUTAGE_S
@@ -399,9 +402,9 @@
         verdict.lag_ms = self._load.max_lag_s * 1e3
 
     def _check_overload(self, verdict: Verdict) -> None:
-        """Count the machines that got more than they survive, and see whether the dependency did."""
+        """Count overloaded machines, and check whether the dependency was overloaded."""
         server = self._scenario.server
-        means = [node.highest_mean_runnable(CROWDING_WINDOW_S) for node in self.nodes]
+        means = [node.highest_mean_runnable(OVERSUBSCRIPTION_WINDOW_S) for node in self.nodes]
         verdict.highest_mean_crowding = max(means) / server.cores
         verdict.overloaded = sum(mean > MAX_OVERSUBSCRIPTION * server.cores for mean in means)
         most_kb = self._memory.most_kb
@@ -411,7 +414,7 @@
         verdict.highest_mean_calls = calls / self._scenario.vault.slots
         verdict.dependency_overloaded = calls > self._scenario.vault.slots
 
-    def _end(self) -> Verdict:
+    def _finish(self) -> Verdict:
         cpu = [cpu_usage(node.versions[-1].server.process.pid) for node in self.nodes if node.up]
         agreed_s = self._agreement_s()
         self._in_parallel(node.end for node in self.nodes)
--- a/cairnvane/testbed/cluster/schedule.py
+++ b/cairnvane/testbed/cluster/schedule.py
@@ -1,7 +1,7 @@
-"""When each fault begins and ends, and which server it hits: drawn from the scenario and one seed. No I/O.
+"""Draws the times and the target server of each fault from the scenario and a seed. No I/O.
 
-The same seed gives the same schedule, whatever happens meanwhile; each fault draws from a random stream of
-its own, so one more fault does not change the others.
+The schedule depends only on the scenario and the seed. Each fault has its own random stream, so that adding a
+fault does not change the others.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from .link_conditions import LINK_FAULT_KINDS, LinkFault
-from .scenario import TO_VAULT, Fault, Scenario
+from .scenario import DEPENDENCY_FAULTS, Fault, Scenario
 
 
 @dataclass(frozen=True)
@@ -19,11 +19,11 @@
     """The beginning or the end of a fault, at a time in seconds of the load."""
 
     at: float
-    number: int  # of its fault
+    number: int  # index of its fault in the scenario
     do: str
-    begins: bool  # else the fault is over
+    begins: bool  # else the fault ends
     who: str
-    links: tuple[tuple[str, str], ...]  # empty, if it is not a fault of links
+    links: tuple[tuple[str, str], ...]  # empty unless it is a fault of links
     fault: Fault
 
     def as_json(self) -> dict[str, object]:
@@ -41,7 +41,7 @@
 
 
 def link_fault(fault: Fault) -> LinkFault:
-    """The fault of a link that the scenario's fault describes."""
+    """Convert a fault of the scenario to a link fault."""
     return LinkFault(
         fault.do,
         share=fault.share,
@@ -55,18 +55,18 @@
     fault = scenario.faults[number]
     rng = random.Random(f"{seed} fault {number}")
     links = scenario.links(fault) if fault.do in LINK_FAULT_KINDS else ()
-    for begins_at in _begins(scenario, fault):
+    for begins_at in _begin_times(scenario, fault):
         at = begins_at + rng.uniform(0.0, fault.jitter)
         target = rng.choice(scenario.names) if fault.who == "any" else fault.who
-        if fault.do in TO_VAULT:
+        if fault.do in DEPENDENCY_FAULTS:
             target = "vault"
         yield Step(at, number, fault.do, True, target, links, fault)
         if fault.duration:
             yield Step(at + fault.duration, number, fault.do, False, target, links, fault)
 
 
-def _begins(scenario: Scenario, fault: Fault) -> Iterator[float]:
-    """When the fault begins, before its jitter; each time it is over before the load's end."""
+def _begin_times(scenario: Scenario, fault: Fault) -> Iterator[float]:
+    """The times at which the fault begins, without jitter; each repetition ends before the load does."""
     yield fault.at
     if not fault.every:
         return
@@ -77,6 +77,6 @@
 
 
 def draw(scenario: Scenario, seed: int) -> list[Step]:
-    """All steps, in the order of their times."""
+    """All steps, ordered by time."""
     steps = [step for number in range(len(scenario.faults)) for step in _steps(scenario, number, seed)]
     return sorted(steps, key=lambda step: (step.at, step.number, not step.begins))
--- a/cairnvane/testbed/faults/__init__.py
+++ b/cairnvane/testbed/faults/__init__.py
@@ -1,5 +1,5 @@
-"""Faults that are injected into or around the real program.
+"""Fault injection: faults within the real program, and hostile clients.
 
-`instrumented_server` is the program with faults inside its process, `hostile_clients` are clients of the
-administration endpoint that never finish a request.
+`instrumented_server` runs the program with faults inside its process, and `hostile_clients` are clients of
+the administration endpoint that never complete a request.
 """
--- a/cairnvane/testbed/faults/hostile_clients.py
+++ b/cairnvane/testbed/faults/hostile_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the administration endpoint that misbehave, and an operator's requests beside them.
+"""Misbehaving clients of the administration endpoint, and regular requests of an operator beside them.
 
 Hostile clients send nothing, send one byte at a time, or never read the response, and reconnect as soon as
 they are disconnected.
@@ -17,10 +17,10 @@
 
 from ...net import http
 
-# A response to an operator is late after this time, and given up after a few times as long.
+# A response to an operator is late after the deadline; the request times out after a multiple of it.
 RESPONSE_DEADLINE_S = 1.0
 REQUEST_TIMEOUT_S = 5 * RESPONSE_DEADLINE_S
-# Interval at which a hostile client acts: a slow one sends one byte then.
+# Interval between the actions of a hostile client, for example the single bytes of a slow one.
 ACTION_INTERVAL_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 POLL_S = 0.005
@@ -32,10 +32,10 @@
 
     SILENT = "silent"  # sends nothing
     SLOW = "slow"  # sends one byte at a time
-    NEVER_READS = "never reads"  # sends whole requests, and reads no response
+    NEVER_READS = "never reads"  # sends complete requests and reads no response
 
 
-# The behaviors of each nine clients.
+# Behaviors, assigned to clients in turn.
 _BEHAVIORS = (Behavior.SILENT,) * 4 + (Behavior.SLOW,) * 4 + (Behavior.NEVER_READS,)
 
 
@@ -48,7 +48,7 @@
 
 
 class HostileClients:
-    """A number of hostile clients of one endpoint, run by one thread until closed."""
+    """Hostile clients of one endpoint, run by one thread until `close`."""
 
     def __init__(self, address: tuple[str, int], count: int) -> None:
         self.connections_opened = 0
@@ -70,7 +70,7 @@
             self._disconnect(client)
 
     def _close_disconnected(self) -> None:
-        """Close connections that the server has ended; a response that came is read, and changes nothing."""
+        """Close connections that the server has closed; responses are read and ignored."""
         for key, _ in self._selector.select(POLL_S):
             client = key.data
             with contextlib.suppress(OSError):
@@ -106,17 +106,17 @@
                 self._selector.unregister(client.sock)
             client.sock.close()
             client.sock = None
-            client.next_action_at = 0.0  # reconnects at once
+            client.next_action_at = 0.0  # reconnects immediately
 
     def close(self) -> None:
-        """Disconnect all clients, and end their thread."""
+        """Disconnect all clients and stop their thread."""
         self._stop.set()
         self._thread.join()
 
 
 @dataclass
 class OperatorRequests:
-    """Requests that an operator sent to administration endpoints, and how they ended."""
+    """Results of an operator's requests to administration endpoints."""
 
     durations_ms: list[float] = field(default_factory=list)
     late: int = 0
@@ -131,7 +131,7 @@
 def send_request(
     address: tuple[str, int], verb: str, path: str, expected_status: int, requests: OperatorRequests
 ) -> bytes:
-    """Send one request, and record how it ended; the body of the response, empty without one."""
+    """Send one request and record its result; returns the body of the response, empty without a response."""
     start = time.monotonic()
     try:
         with socket.create_connection(address, REQUEST_TIMEOUT_S) as sock:
@@ -145,9 +145,9 @@
     requests.durations_ms.append(duration_s * 1e3)
     requests.late += duration_s > RESPONSE_DEADLINE_S
     if reply.status != expected_status:
-        requests.failures.append(f"{verb} {path}: {reply.status}, not {expected_status}")
+        requests.failures.append(f"{verb} {path}: status {reply.status}, expected {expected_status}")
     elif path == "/-/metrics" and not _is_json(reply.body):
-        requests.failures.append(f"{path}: no JSON")
+        requests.failures.append(f"{path}: response is not JSON")
     return reply.body
 
 
--- a/cairnvane/testbed/faults/instrumented_server.py
+++ b/cairnvane/testbed/faults/instrumented_server.py
@@ -1,11 +1,11 @@
-"""The real program with faults inside its process: `python -m cairnvane.testbed.faults.instrumented_server`.
-
-Environment variables choose the faults. `CAIRNVANE_LAB_KILL` names a step of the store's work and how often
-it is passed before the process kills itself, as in `written intent:3`. The process ends by SIGKILL: nothing
-is flushed and nobody is notified. `CAIRNVANE_LAB_MUTANT` disables one part of the store, which shows that the
-checker detects its absence. `CAIRNVANE_LAB_CLOCK` shifts Unix time by so many seconds. Further faults are
-ordered while the program serves: see `FAULTS`. `CAIRNVANE_LAB_RIG` is the process id of the testbed that
-started this process, which ends once that is no longer its parent.
+"""Runs the real program with injected faults: `python -m cairnvane.testbed.faults.instrumented_server`.
+
+Environment variables select the faults. `CAIRNVANE_LAB_KILL` names a step of the store and how often the
+process completes it before it kills itself, as in `written intent:3`. It uses SIGKILL, so nothing is flushed
+and no peer is notified. `CAIRNVANE_LAB_MUTANT` disables one part of the program, such as a part of the store,
+to show that the checker detects its absence. `CAIRNVANE_LAB_CLOCK` shifts Unix time by a number of seconds.
+`FAULTS` lists the faults that the testbed can inject while the program serves. `CAIRNVANE_LAB_RIG` is the
+process id of the testbed that started this process; the process exits once its parent is another one.
 """
 
 from __future__ import annotations
@@ -42,10 +42,10 @@
 MUTANT_VARIABLE = "CAIRNVANE_LAB_MUTANT"
 CLOCK_VARIABLE = "CAIRNVANE_LAB_CLOCK"
 TESTBED_PID_VARIABLE = "CAIRNVANE_LAB_RIG"
-# The signal that an order stands in the order file.
+# The signal that tells the process to read the order file.
 ORDER_SIGNAL = signal.SIGUSR1
-# What can be ordered, each with a number of seconds. `hold`: all threads stand still, as when one of them
-# keeps the interpreter's lock. `busy`: the event loop's thread alone stands still. `clock`: Unix time jumps.
+# Faults that can be ordered, each with a number of seconds. `hold`: all threads stall, as when one of them
+# keeps the interpreter lock. `busy`: only the event loop's thread stalls. `clock`: Unix time jumps.
 FAULTS = ("hold", "busy", "clock")
 # Interval at which the process checks that the testbed is still its parent.
 PARENT_CHECK_S = 1.0
@@ -53,12 +53,12 @@
 
 
 def order_file(folder: Path, pid: int) -> Path:
-    """Where an order for this process stands when the signal arrives."""
+    """The file that contains the order for this process when the signal arrives."""
     return folder / f"order-{pid}.json"
 
 
 def kill_at_step(text: str) -> StepObserver:
-    """An observer that kills the process at a step: `text` is `<step>:<number of times it passes before>`."""
+    """An observer that kills the process at a step; `text` is `<step>:<times that it is passed before>`."""
     step, _, count = text.rpartition(":")
     remaining = int(count)
 
@@ -73,7 +73,7 @@
 
 
 def _shift_unix_time(seconds: float) -> None:
-    """Shift Unix time by so many seconds more; the monotonic clock is unaffected."""
+    """Shift Unix time by further seconds; the monotonic clock is unaffected."""
     time_before = time.time
     time_ns_before = time.time_ns
     time.time = lambda: time_before() + seconds
@@ -81,20 +81,20 @@
 
 
 def _execute_orders(testbed_pid: int) -> None:
-    """Wait for orders in a thread of its own: a signal handler would only run when the main thread wakes.
+    """Wait for orders in a separate thread: a signal handler would run only when the main thread wakes.
 
-    `testbed_pid` is handed over by the testbed itself: it may have been killed before this thread could ask
-    for its own parent, and the answer would then be the process that took the testbed's place.
+    The testbed passes `testbed_pid` itself. If this thread asked for its parent instead, the testbed might
+    have been killed before, and the result would be the process that adopted this one.
     """
-    import ctypes  # imported here, since a process that stands still must not wait for the import
+    import ctypes  # imported before any fault: a stalled process must not wait for the import
 
     interpreter = ctypes.PyDLL(None)
     path = order_file(Path(os.environ["TMPDIR"]), os.getpid())
     while True:
-        # `sigtimedwait` was seen to return at a shutdown signal too, which the main thread received: there is
-        # no order then.
+        # `sigtimedwait` was observed to return at a shutdown signal too, which the main thread received.
+        # There is no order file then.
         if signal.sigtimedwait({ORDER_SIGNAL}, PARENT_CHECK_S) is None or not path.exists():
-            if os.getppid() != testbed_pid:  # it has ended, and nobody else would end this process
+            if os.getppid() != testbed_pid:  # the testbed has exited, and no other process would end this one
                 os._exit(1)
             continue
         fault, seconds = json.loads(path.read_text())
@@ -105,11 +105,11 @@
             for event_loop in _event_loops:
                 event_loop.post(partial(time.sleep, seconds))
         else:
-            interpreter.usleep(int(seconds * 1e6))  # called through PyDLL, it keeps the interpreter's lock
+            interpreter.usleep(int(seconds * 1e6))  # a call through PyDLL keeps the interpreter lock
 
 
-def _registering(initialize: Callable[..., None]) -> Callable[..., None]:
-    """`EventLoop.__init__` that registers each event loop, for the fault `busy`."""
+def _with_registration(initialize: Callable[..., None]) -> Callable[..., None]:
+    """Wrap `EventLoop.__init__` so that it registers each event loop, for the fault `busy`."""
 
     def initialize_and_register(self: EventLoop, *args: object, **keywords: object) -> None:
         initialize(self, *args, **keywords)
@@ -136,7 +136,7 @@
     settles: tuple[int, ...],
     then: Callable[[], None],
 ) -> None:
-    self._ledger.record_never_started(token, until, settles)  # and the segment log gets no result
+    self._ledger.record_never_started(token, until, settles)  # no result is written to the segment log
     then()
 
 
@@ -167,7 +167,7 @@
 
 
 def _apply_mutant(mutant: str) -> None:
-    """Disable what the mutant names: a part of the store, or what guards one of the rules."""
+    """Disable the mechanism that the mutant names: a part of the store, or the enforcement of a rule."""
     _apply_rule_mutant(mutant)
     _apply_store_mutant(mutant)
 
@@ -193,7 +193,7 @@
         TakeoverStore.record_start = _record_start_without_intent  # type: ignore[method-assign]
     elif mutant == "no-results":
         TakeoverStore.record_end = _record_end_without_result  # type: ignore[method-assign]
-        durability.RECENT_RESULTS = 0  # nor does the incarnation itself cache them
+        durability.RECENT_RESULTS = 0  # the incarnation does not cache them either
     elif mutant == "no-claims":
         ClaimLog.record_start = _record_start_without_claim  # type: ignore[method-assign]
     elif mutant == "no-digests":
@@ -206,12 +206,12 @@
 
 
 def run() -> int:
-    """Apply the faults of the environment, then run the program; its exit status."""
+    """Apply the faults that the environment selects, run the program and return its exit status."""
     _apply_mutant(os.environ.get(MUTANT_VARIABLE, ""))
-    # Blocked before any thread starts: a thread that left them unblocked would be ended by the signals that
-    # the main thread waits for.
+    # Block the signals before any thread starts: delivered to a thread that does not block them, a signal
+    # that the main thread waits for would end the process.
     signal.pthread_sigmask(signal.SIG_BLOCK, {ORDER_SIGNAL, *LEAVE, RELOAD})
-    EventLoop.__init__ = _registering(EventLoop.__init__)  # type: ignore[method-assign]
+    EventLoop.__init__ = _with_registration(EventLoop.__init__)  # type: ignore[method-assign]
     _start_order_thread()
     if shift_s := float(os.environ.get(CLOCK_VARIABLE) or 0):
         _shift_unix_time(shift_s)
--- a/cairnvane/testbed/parallel.py
+++ b/cairnvane/testbed/parallel.py
@@ -1,4 +1,4 @@
-"""Runs of an experiment in parallel, in one process for each core."""
+"""Runs the cases of an experiment in parallel, in one process per core."""
 
 from __future__ import annotations
 
@@ -6,19 +6,20 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, TypeVar
 
-R = TypeVar("R")
+ResultT = TypeVar("ResultT")
 Case = tuple[Any, ...]
 
 
 def run_cases(
-    run: Callable[..., R],
+    run: Callable[..., ResultT],
     cases: Sequence[Case],
     seeds: int,
     say: Callable[[str], None],
-) -> Iterator[tuple[Case, list[R]]]:
-    """Each case with the results of its seeds, from 0 on, in the order of the cases.
+) -> Iterator[tuple[Case, list[ResultT]]]:
+    """Yield each case with the results of its seeds (from 0), in the order of the cases.
 
-    `run` is called with the parts of a case and a seed; `say` is called for each case that is done.
+    `run` is called with the values of a case and a seed; `say` is called with a progress line for each
+    completed case.
     """
     with ProcessPoolExecutor() as workers:
         futures = {case: [workers.submit(run, *case, seed) for seed in range(seeds)] for case in cases}
--- a/cairnvane/testbed/server_process.py
+++ b/cairnvane/testbed/server_process.py
@@ -1,4 +1,4 @@
-"""Processes of the real program: configured, started among stand-ins, observed by their log lines, killed."""
+"""Configures, starts, observes (by log lines) and kills processes of the real program."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 from .. import log_events
 from .faults import instrumented_server
 
-# A process has to listen within this time.
+# Maximum time until a process listens.
 START_TIMEOUT_S = 20.0
-# An order is executed at once, but by a process that may have little of a core.
+# Maximum time until a process executes a fault order: immediately, unless it gets little CPU time.
 ORDER_TIMEOUT_S = 5.0
 ORDER_POLL_S = 0.005
 _LISTENING = log_events.pattern(log_events.LISTENING)
 _LISTENING_PORT_GROUP = 3
 _RECOVERED = log_events.pattern(log_events.RESULTS_RECOVERED)
 _RECOVERED_MS_GROUP = 4
-# Variables of the testbed's own environment that a server must not inherit start with these.
+# Prefixes of environment variables that a server must not inherit from the testbed.
 _SERVER_VARIABLE_PREFIXES = ("LB_", "CAIRN")
 
 
 @dataclass
 class Site:
-    """Configuration of a server, and the folder that its files are written to.
+    """Configuration of a server, and the folder to which its files are written.
 
     `pool`, `vault` and `roster` are the addresses of the worker pool, the dependency and the service
     registry; `control` is that of the administration endpoint.
@@ -48,10 +48,10 @@
     listen: str = "127.0.0.1:0"
     control: str | None = None
     name: str = "lab"
-    label: str = ""  # part of the file names, where several processes share the folder
+    label: str = ""  # part of the file names that distinguishes processes sharing the folder
 
     def write(self) -> dict[str, str]:
-        """Write the files; the environment that names them."""
+        """Write the files, and return the environment variables that name them."""
         config = self.folder / f"config{self.label}.json"
         config.write_text(json.dumps(self._configuration()))
         environment = {"LB_CONFIG": str(config), "TMPDIR": str(self.folder)}
@@ -77,23 +77,23 @@
 
 @dataclass
 class Life:
-    """One process of the program, with the log lines that it has written so far."""
+    """One process of the program, with its log lines so far."""
 
     process: subprocess.Popen[str]
     began: float  # on the monotonic clock
-    port: int = 0  # that it listens on; 0 before
-    configuration: Path | None = None  # the file that it reads again on SIGHUP
+    port: int = 0  # its listening port; 0 until it listens
+    configuration: Path | None = None  # the file that it rereads on SIGHUP
     lines: list[str] = field(default_factory=list)
-    said_at: list[float] = field(default_factory=list)  # when each line was read, on the monotonic clock
+    line_times: list[float] = field(default_factory=list)  # when each line was read, on the monotonic clock
     recovery_ms: float | None = None
-    # Set once it listens, or has ended.
+    # Set once it listens or has exited.
     _listening_or_ended: threading.Event = field(default_factory=threading.Event)
 
     def watch(self) -> None:
-        """Read its log lines until it ends."""
+        """Read its log lines until it exits."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            self.said_at.append(time.monotonic())
+            self.line_times.append(time.monotonic())
             self.lines.append(line.rstrip())
             self._interpret(line)
         self._listening_or_ended.set()
@@ -106,29 +106,29 @@
             self.recovery_ms = float(recovered[_RECOVERED_MS_GROUP])
 
     def listens(self) -> bool:
-        """Wait until it listens; False if it ended first, or did not listen in time."""
+        """Wait until it listens; False if it exits first or does not listen in time."""
         return self._listening_or_ended.wait(START_TIMEOUT_S) and self.port > 0
 
     def alive(self) -> bool:
-        """Whether it has not ended."""
+        """Whether it has not exited."""
         return self.process.poll() is None
 
     def wait(self, seconds: float) -> None:
-        """Wait until it has ended, but no longer than this."""
+        """Wait up to `seconds` for its exit."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.process.wait(seconds)
 
-    def order(self, folder: Path, what: str, seconds: float) -> None:
-        """Order a fault within the process, one of `instrumented_server.FAULTS`; return once it begins."""
+    def order(self, folder: Path, fault: str, seconds: float) -> None:
+        """Inject a fault into the process, one of `instrumented_server.FAULTS`; return once it begins."""
         path = instrumented_server.order_file(folder, self.process.pid)
-        path.write_text(json.dumps([what, seconds]))
+        path.write_text(json.dumps([fault, seconds]))
         self.process.send_signal(instrumented_server.ORDER_SIGNAL)
         deadline = time.monotonic() + ORDER_TIMEOUT_S
         while path.exists() and self.alive() and time.monotonic() < deadline:
             time.sleep(ORDER_POLL_S)
 
     def reload(self, torn: bool) -> None:
-        """Send SIGHUP; `torn`: the file holds half of the configuration until the process has said so."""
+        """Send SIGHUP; `torn`: the file holds half of the configuration until the process logs a line."""
         assert self.configuration is not None
         whole = self.configuration.read_bytes()
         lines_before = len(self.lines)
@@ -142,18 +142,18 @@
             self.configuration.write_bytes(whole)
 
     def kill(self) -> None:
-        """Send SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait for its exit."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
     def stop(self, wait_s: float) -> int:
-        """Send SIGTERM, and wait for its exit status; `subprocess.TimeoutExpired` if that takes longer."""
+        """Send SIGTERM and return the exit status; `subprocess.TimeoutExpired` after `wait_s` seconds."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(wait_s)
 
 
 def start(site: Site, kill: str = "", mutant: str = "", clock_s: float = 0.0) -> Life:
-    """Start the instrumented server; `kill`, `mutant` and `clock_s` as its environment variables say."""
+    """Start the instrumented server; `instrumented_server` describes `kill`, `mutant` and `clock_s`."""
     environment = {
         name: value for name, value in os.environ.items() if not name.startswith(_SERVER_VARIABLE_PREFIXES)
     }
@@ -170,6 +170,6 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    life = Life(process, time.monotonic(), configuration=Path(environment["LB_CONFIG"]))
-    threading.Thread(target=life.watch, name="server log reader", daemon=True).start()
-    return life
+    server = Life(process, time.monotonic(), configuration=Path(environment["LB_CONFIG"]))
+    threading.Thread(target=server.watch, name="server log reader", daemon=True).start()
+    return server
--- a/cairnvane/testbed/server_version.py
+++ b/cairnvane/testbed/server_version.py
@@ -1,6 +1,6 @@
-"""Versions of one server: processes of the real program, each with a worker pool of its own.
+"""Versions of one server: processes of the real program, each with its own worker pool.
 
-Two of them serve side by side during an upgrade, at one address and in one folder.
+During an upgrade two versions serve side by side, on the same address and in the same folder.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from .faults.hostile_clients import OperatorRequests, send_request
 from .stand_ins.worker_pool import StandInPool
 
-# A new version has to report readiness within this time.
+# Maximum time until a new version reports readiness.
 READY_TIMEOUT_S = 6.0
 READY_POLL_S = 0.01
-# Log lines that no process should write: an unhandled error, and the end of the store's writer.
+# Log lines of failures within the program: an unhandled exception, and the end of the store's writer.
 ALARMS = (re.compile("Traceback"), log_events.pattern(log_events.STORE_WRITER_ENDED))
-# Number of lines that are reported from an alarm on.
+# Number of lines that are reported per alarm, starting with the alarm.
 ALARM_CONTEXT_LINES = 30
 
 
 def is_alarm(line: str) -> bool:
-    """Whether no process should write this log line."""
+    """Whether this log line reports a failure within the program."""
     return any(alarm.search(line) is not None for alarm in ALARMS)
 
 
 @dataclass(eq=False)
 class ServerVersion:
-    """One process, with the stand-in worker pool and the administration endpoint that belong to it."""
+    """One process with its stand-in worker pool and the address of its administration endpoint."""
 
     server: server_process.Life
     pool: StandInPool
@@ -40,7 +40,7 @@
     ready: bool = False
 
     def await_ready(self) -> float | None:
-        """Milliseconds from its start until it reports readiness; None if it does not in time."""
+        """Wait for readiness; returns the milliseconds since its start, None if it was not ready in time."""
         assert self.administration is not None
         deadline = self.server.began + READY_TIMEOUT_S
         while time.monotonic() < deadline and self.server.alive():
@@ -53,7 +53,7 @@
         return None
 
     def shut_down(self, wait_s: float) -> int:
-        """Send SIGTERM, and wait for its exit status; a process that does not end in time is killed."""
+        """Send SIGTERM and return its exit status; a process that does not exit in time is killed."""
         self.ready = False
         try:
             return self.server.stop(wait_s)
@@ -62,12 +62,12 @@
             return -signal.SIGKILL
 
     def kill(self) -> None:
-        """Send SIGKILL, and wait for its end."""
+        """Send SIGKILL and wait for its exit."""
         self.ready = False
         self.server.kill()
 
     def alarms(self) -> list[str]:
-        """The log lines that no process should write, each with the lines that followed."""
+        """All alarms among its log lines, each with the lines that follow it."""
         lines = self.server.lines
         return [
             " | ".join(lines[number : number + ALARM_CONTEXT_LINES])
@@ -79,19 +79,19 @@
 def start(
     site: server_process.Site,
     pool: StandInPool,
-    pool_at: str,
+    pool_address: str,
     administration: tuple[str, int] | None,
     label: str,
     mutant: str = "",
     clock_s: float = 0.0,
 ) -> ServerVersion:
-    """Start a version that reaches its pool at the address `pool_at`.
+    """Start a version that connects to its pool at `pool_address`.
 
     `administration` is the address of its administration endpoint. `label` distinguishes its files from those
     of other versions in the folder.
     """
     control = None if administration is None else "{}:{}".format(*administration)
     server = server_process.start(
-        replace(site, pool=pool_at, control=control, label=label), mutant=mutant, clock_s=clock_s
+        replace(site, pool=pool_address, control=control, label=label), mutant=mutant, clock_s=clock_s
     )
     return ServerVersion(server, pool, administration)
--- a/cairnvane/testbed/soak/__init__.py
+++ b/cairnvane/testbed/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: scenarios with faults that cross each other, drawn from a seed, each checked by all rules."""
+"""The soak test: random scenarios with overlapping faults, each checked against all rules."""
--- a/cairnvane/testbed/stand_ins/__init__.py
+++ b/cairnvane/testbed/stand_ins/__init__.py
@@ -1,5 +1,6 @@
-"""Stand-ins for everything that the server talks to, written from the description of each protocol.
+"""Stand-ins for the peers of the server, implemented from the specification of each protocol.
 
-`balancer` sends requests as a client, `worker_pool` runs them, `vault` is the downstream dependency and the
-service registry, `management_server` the xDS server, and `disk` models the storage below the segment log.
+`balancer` is a client that sends requests, `worker_pool` runs them, `vault` contains the downstream
+dependency and the service registry, `management_server` the xDS server, and `disk` is a model of the storage
+of the segment log.
 """
--- a/cairnvane/testbed/stand_ins/balancer.py
+++ b/cairnvane/testbed/stand_ins/balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in balancer: requests over FastCGI on a few connections, each answered, disconnected or pending."""
+"""A stand-in balancer, which sends requests over a few FastCGI connections and reports the end of each."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from ...net import fastcgi
 from .sockets import HOST, RECEIVE_BYTES, shut
 
-# The protocol's own bound on open requests of a connection.
+# The protocol's limit on open requests per connection.
 MAX_REQUESTS_PER_CONNECTION = 32
-# A server may close a connection that has no open request, and a request may cross that within this time. The
-# protocol says that it is sent again on a new connection, once.
+# A server may close an idle connection while a request is on its way. Within this time after the request was
+# sent, the protocol has it resent on a new connection, once.
 CLOSE_RACE_S = 0.05
 CONNECT_TIMEOUT_S = 5
-# Memory that a request needs while it is queued, if nothing else is said.
+# Default memory of a queued request.
 DEFAULT_MEMORY_KB = 8.0
-# Status of a reply whose connection ended first.
+# Status of a reply if the connection ended before a response.
 DISCONNECTED = 0
 
 
 @dataclass(slots=True)
 class Reply:
-    """What came back for one attempt. `status` is `DISCONNECTED` if its connection ended first."""
+    """The result of one attempt. `status` is `DISCONNECTED` if the connection ended before a response."""
 
     status: int
     body: bytes
@@ -46,8 +46,8 @@
     """A request that has not been answered."""
 
     then: ReplyCallback
-    since: float  # on the monotonic clock
-    # Its records as bytes, for a request number; None: it is not to be sent again.
+    sent_at: float  # on the monotonic clock
+    # Encodes its records for a request number; None if it must not be resent.
     records: Callable[[int], bytes] | None
 
 
@@ -62,7 +62,7 @@
         self.broken = False
 
     def close_if_idle(self) -> None:
-        """Shut it down, if no request is pending on it."""
+        """Shut the connection down if no request is pending on it."""
         with self.lock:
             if not self.pending and not self.broken:
                 self.broken = True
@@ -70,7 +70,7 @@
 
 
 def _encode(parameters: dict[str, str], body: bytes, number: int) -> bytes:
-    """The records of a request, under this number."""
+    """The records of a request with this number."""
     return b"".join(
         [
             fastcgi.record(fastcgi.BEGIN_REQUEST, number, b"\0\1\1\0\0\0\0\0"),
@@ -98,18 +98,18 @@
 
 
 class StandInBalancer:
-    """A client of one server process, or, with `renew`, of all processes that listen at one address.
+    """A client of one server process or, with `renew`, of all processes that listen on one address.
 
-    A lost connection is replaced only with `renew`. Replies are handed to a callback in a reader's thread, or
-    in the caller's own if there is no connection any more. Its methods may be called from any thread.
+    A lost connection is replaced only with `renew`. Replies are passed to a callback in a reader's thread, or
+    in the caller's thread if the connection has ended. Any thread may call its methods.
     """
 
     def __init__(
         self, port: int, links: int = 4, renew: bool = False, memory_kb: float = DEFAULT_MEMORY_KB
     ) -> None:
-        """Connect `links` times; `OSError` if nobody listens at the port.
+        """Open `links` connections; `OSError` if nothing listens on the port.
 
-        `memory_kb` is what each request says that it needs while it is queued.
+        `memory_kb` is the memory that each request declares for its time in the queue.
         """
         self._memory_kb = memory_kb
         self._port = port
@@ -124,7 +124,7 @@
         threading.Thread(target=self._read, args=(connection,), name="balancer reader", daemon=True).start()
 
     def close_if_idle(self, at: int) -> None:
-        """Close a connection on which nothing is pending: the next request on it opens a new one.
+        """Close an idle connection, so that the next request on it opens a new one.
 
         The new connection may lead to another process.
         """
@@ -140,10 +140,10 @@
         fresh: bool = False,
         wait: bool = True,
     ) -> Callable[[], None] | None:
-        """Send a request, once a connection has capacity; None if none has and `wait` is off.
+        """Send a request once a connection has capacity; None if none has and `wait` is False.
 
-        `fresh`: on a connection that is opened for it. `token`: its idempotency key. The function that is
-        returned aborts the request, after which `then` is not called.
+        `fresh`: open a new connection for it. `token`: its idempotency key. The returned function aborts the
+        request, after which `then` is not called.
         """
         if not self._capacity.acquire(blocking=wait):
             return None
@@ -158,11 +158,11 @@
             if not connection.broken:
                 connection.sock.sendall(records(number))
                 return lambda: self._abort(connection, number, then)
-        self._end(connection, number, _disconnected())
+        self._finish(connection, number, _disconnected())
         return lambda: None
 
     def _abort(self, connection: _Connection, number: int, then: ReplyCallback) -> None:
-        """Send the abort. The number is free again once the server has ended the request."""
+        """Send the abort. The request number is reused once the server has ended the request."""
         with connection.lock, contextlib.suppress(OSError):
             if (request := connection.pending.get(number)) is not None and request.then is then:
                 connection.pending[number] = _PendingRequest(lambda reply: None, 0.0, None)
@@ -171,7 +171,7 @@
     # --- choice of a connection
 
     def _assign(self, request: _PendingRequest, fresh: bool) -> tuple[_Connection, int]:
-        """A connection for this request, and its number there."""
+        """Choose a connection for a request, and its number on that connection."""
         if fresh:
             with contextlib.suppress(OSError):
                 return self._assign_fresh(request)
@@ -189,7 +189,7 @@
                         return connection, number
 
     def _assign_fresh(self, request: _PendingRequest) -> tuple[_Connection, int]:
-        """A new connection, which replaces another one; that one ends when nothing is pending on it."""
+        """Open a connection that replaces another one, which is closed if it is idle."""
         connection = _Connection(self._port)
         number = connection.free_numbers.pop()
         connection.pending[number] = request
@@ -199,7 +199,7 @@
         return connection, number
 
     def _reconnect(self, connection: _Connection) -> _Connection:
-        """A new connection in the place of one that has ended; the ended one if connecting fails."""
+        """Open a connection that replaces an ended one; the ended one itself if connecting fails."""
         try:
             replacement = _Connection(self._port)
         except OSError:
@@ -221,38 +221,38 @@
                     if part.kind == fastcgi.STDOUT:
                         output.setdefault(part.request, bytearray()).extend(part.content)
                     elif part.kind == fastcgi.END_REQUEST:
-                        self._answered(connection, part.request, bytes(output.pop(part.request, b"")))
+                        self._complete(connection, part.request, bytes(output.pop(part.request, b"")))
                 buffered = buffered[offset:]
         with connection.lock:
             connection.broken = True
             unanswered = list(connection.pending)
         for number in unanswered:
-            self._end(connection, number, _disconnected())
+            self._finish(connection, number, _disconnected())
 
-    def _answered(self, connection: _Connection, number: int, content: bytes) -> None:
+    def _complete(self, connection: _Connection, number: int, content: bytes) -> None:
         head, _, body = content.partition(b"\r\n\r\n")
         fields = dict(line.split(": ", 1) for line in head.decode().split("\r\n") if ": " in line)
         status = int(fields.get("Status", "500").split(" ")[0])
         retry_after_ms = int(fields.get("Srv-Wait-Ms", "0"))
-        self._end(connection, number, Reply(status, body, retry_after_ms, 0.0))
+        self._finish(connection, number, Reply(status, body, retry_after_ms, 0.0))
 
     def _resend_after_close(self, request: _PendingRequest) -> bool:
-        """Send a request again whose connection the server closed at that moment.
+        """Resend a request whose connection the server closed while the request was on its way.
 
-        False if it was sent too long ago, was sent again already, or nobody listens.
+        False if it was sent too long ago, has been resent before, or nothing listens.
         """
-        if request.records is None or time.monotonic() - request.since > CLOSE_RACE_S:
+        if request.records is None or time.monotonic() - request.sent_at > CLOSE_RACE_S:
             return False
         with contextlib.suppress(OSError):
             connection = _Connection(self._port)
             number = connection.free_numbers.pop()
-            connection.pending[number] = _PendingRequest(request.then, request.since, None)
+            connection.pending[number] = _PendingRequest(request.then, request.sent_at, None)
             connection.sock.sendall(request.records(number))
             self._start_reader(connection)
             return True
         return False
 
-    def _end(self, connection: _Connection, number: int, reply: Reply) -> None:
+    def _finish(self, connection: _Connection, number: int, reply: Reply) -> None:
         with connection.lock:
             request = connection.pending.pop(number, None)
             if request is None:
@@ -261,7 +261,7 @@
         if reply.status == DISCONNECTED and self._resend_after_close(request):
             return
         self._capacity.release()
-        reply.duration_s = time.monotonic() - request.since
+        reply.duration_s = time.monotonic() - request.sent_at
         request.then(reply)
 
     def close(self) -> None:
--- a/cairnvane/testbed/stand_ins/crowding.py
+++ b/cairnvane/testbed/stand_ins/crowding.py
@@ -1,4 +1,4 @@
-"""How many runs wanted a core over time, and the highest mean of that over a window. No I/O."""
+"""Records a count over time, such as runnable runs, and finds its highest mean over a window. No I/O."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 @dataclass
 class Crowding:
-    """The number of runnable runs, recorded at each change. Times are seconds of one monotonic clock."""
+    """A count, recorded at each change. Times are seconds of one monotonic clock."""
 
     _times: list[float] = field(default_factory=list)
-    _runnable: list[int] = field(default_factory=list)  # from the time at the same place on
-    _sums: list[float] = field(default_factory=list)  # the integral up to that time
+    _counts: list[int] = field(default_factory=list)  # the count from the time with the same index on
+    _integrals: list[float] = field(default_factory=list)  # the integral of the count up to that time
 
-    def record(self, at: float, runnable: int) -> None:
-        """From `at` on, which is not before the last change, so many runs want a core."""
-        if self._runnable and self._runnable[-1] == runnable:
+    def record(self, at: float, count: int) -> None:
+        """Record the count from the time `at` on, which must not precede the last change."""
+        if self._counts and self._counts[-1] == count:
             return
-        self._sums.append(self._integral(at))
+        self._integrals.append(self._integral(at))
         self._times.append(at)
-        self._runnable.append(runnable)
+        self._counts.append(count)
 
     def highest_mean(self, window_s: float, until: float) -> float:
-        """The highest mean over any `window_s` seconds that end by `until`; 0 before the first change."""
+        """Highest mean over any window of `window_s` seconds that ends by `until`; 0 without any change."""
         ends = {until}
         for at in self._times:
             ends |= {at, at + window_s}
@@ -31,8 +31,8 @@
         return max(integrals, default=0.0) / window_s
 
     def _integral(self, until: float) -> float:
-        """Runs times seconds, from the first change until this time."""
-        place = bisect_right(self._times, until) - 1
-        if place < 0:
+        """Integral of the count in seconds, from the first change until this time."""
+        index = bisect_right(self._times, until) - 1
+        if index < 0:
             return 0.0
-        return self._sums[place] + self._runnable[place] * (until - self._times[place])
+        return self._integrals[index] + self._counts[index] * (until - self._times[index])
--- a/cairnvane/testbed/stand_ins/disk.py
+++ b/cairnvane/testbed/stand_ins/disk.py
@@ -1,8 +1,8 @@
-"""A model of a disk: it keeps what was synced, and loses, tears or reorders the rest at a power cut.
+"""A model of a disk: it keeps synced data, and loses, tears or reorders the rest in a power cut.
 
-It has the interface of the segment log's storage. Every step that a real disk could be stopped before is
-counted; the model can be made to fail at one kind of step, or to lose power before one step. After that,
-`images` yields the contents that may be found.
+It has the interface of the segment log's storage. It counts every step before which a real disk could be
+interrupted, and can fail at one kind of step or lose power before a given step. `images` then yields the
+contents that may be found.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PowerCut(BaseException):
-    """The machine has lost power. Not an `OSError`: nothing that runs on the machine can handle it."""
+    """The machine has lost power. Not an `OSError`, since code on the machine cannot handle it."""
 
 
 @dataclass(slots=True)
@@ -23,34 +23,35 @@
     durable: bytes = b""  # the content at the last sync
 
     def after_power_cut(self, outcome: str) -> bytes:
-        """The content that is found after a power cut with this outcome, one of `OUTCOMES`."""
+        """The content after a power cut with this outcome, one of `OUTCOMES`."""
         unsynced = len(self.data) - len(self.durable)
         if outcome == "kept" or unsynced <= 0:
             return bytes(self.data)
         if outcome == "half":
             return bytes(self.data[: len(self.durable) + unsynced // 2])
-        if outcome == "zeros":  # the length was written, the blocks were not
+        if outcome == "zeros":  # the new length was written, the blocks were not
             return self.durable + bytes(unsynced)
-        if outcome == "garbled":  # the blocks were written in another order
+        if outcome == "garbled":  # later blocks were written before earlier ones
             return self.durable + bytes(unsynced // 2) + bytes(self.data[len(self.durable) + unsynced // 2 :])
         return self.durable
 
 
-# What becomes of the unsynced part of a file at a power cut.
+# Possible results of a power cut for the unsynced part of a file.
 OUTCOMES = ("lost", "kept", "half", "zeros", "garbled")
 
 
 class Disk:
-    """One folder on the modelled disk."""
+    """One folder on the simulated disk."""
 
     def __init__(self, files: dict[str, bytes] | None = None) -> None:
-        self.steps = 0  # taken so far
-        self.cut_at: int | None = None  # the power is cut before this step
-        self.fails: dict[str, int] = {}  # by kind of step, the error number that it fails with
-        self.gate = threading.Event()  # every write waits until this is set
+        self.steps = 0  # number of steps so far
+        self.cut_at: int | None = None  # number of the step before which the power is cut
+        self.fails: dict[str, int] = {}  # error number by kind of step
+        self.gate = threading.Event()  # writes block until it is set
         self.gate.set()
         self._names = {name: _File(bytearray(data), data) for name, data in (files or {}).items()}
-        # The directories that may be found: one for each change since the folder was last synced.
+        # The directories that may be found after a power cut: one per change since the last sync of the
+        # folder.
         self._directories: list[dict[str, _File]] = [dict(self._names)]
         self._locked = False
 
@@ -62,10 +63,10 @@
             raise OSError(self.fails[kind], f"{kind}: {errno.errorcode[self.fails[kind]]}")
 
     def images(self) -> Iterator[dict[str, bytes]]:
-        """The contents that may be found when the power is back.
+        """The contents that may be found after a power cut.
 
-        Any of the possible directories, with the unsynced parts of the files up to some name treated in one
-        way and those of the files after it kept or lost.
+        Each possible directory is combined with one outcome for the unsynced parts of the files up to some
+        name, and `kept` or `lost` for the files after it.
         """
         seen = set()
         for names in (self._directories[0], self._directories[-1], *self._directories[1:-1]):
@@ -74,8 +75,8 @@
                 for later_outcome in ("kept", "lost"):
                     for split in {0, len(order) // 2, len(order)}:
                         image = {
-                            name: names[name].after_power_cut(outcome if at < split else later_outcome)
-                            for at, name in enumerate(order)
+                            name: names[name].after_power_cut(outcome if position < split else later_outcome)
+                            for position, name in enumerate(order)
                         }
                         key = tuple(sorted(image.items()))
                         if key not in seen:
@@ -87,7 +88,7 @@
         return {name: bytes(file.data) for name, file in self._names.items()}
 
     def make(self) -> None:
-        """Create the folder: it always exists."""
+        """Do nothing: the folder always exists."""
 
     def lock(self) -> None:
         """Take the lock of the folder."""
@@ -156,13 +157,13 @@
 
 
 class Handle:
-    """A file on the modelled disk that is open for writing."""
+    """A file on the simulated disk that is open for writing."""
 
     def __init__(self, disk: Disk, file: _File) -> None:
         self._disk, self._file = disk, file
 
     def write(self, data: bytes) -> None:
-        """Append; a write that fails has appended half of the data."""
+        """Append data; a failed write has appended half of it."""
         self._disk.gate.wait()
         try:
             self._disk._step("write")
@@ -172,9 +173,9 @@
         self._file.data += data
 
     def sync(self) -> None:
-        """Make the content durable. One that fails has lost it, though a reader may not notice."""
+        """Make the content durable. A failed sync loses it, although it can still be read."""
         self._disk._step("sync")
         self._file.durable = bytes(self._file.data)
 
     def close(self) -> None:
-        """End writing."""
+        """Close the file: nothing to do."""
--- a/cairnvane/testbed/stand_ins/management_server.py
+++ b/cairnvane/testbed/stand_ins/management_server.py
@@ -1,4 +1,4 @@
-"""A stand-in xDS management server over gRPC: it pushes what a test hands it, and keeps all requests."""
+"""A stand-in xDS management server over gRPC that pushes resources on demand and records all requests."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class StandInManagement(ads_pb2_grpc.AggregatedDiscoveryServiceServicer):  # type: ignore[misc]
-    """Serves one client at a time, which may use either variant of the protocol."""
+    """Serves one client at a time, with either variant of the protocol."""
 
     def __init__(self) -> None:
-        self.asked: SimpleQueue[Any] = SimpleQueue()  # every request, in order
+        self.asked: SimpleQueue[Any] = SimpleQueue()  # all requests in order
         self.streams = 0
-        self._out: SimpleQueue[Any] = SimpleQueue()
+        self._responses: SimpleQueue[Any] = SimpleQueue()
         self._delta = False
         self._pushes = 0
         self._lock = threading.Lock()
@@ -38,19 +38,19 @@
 
     def _serve(self, requests: Iterator[Any], context: Any, delta: bool) -> Iterator[Any]:
         with self._lock:
-            out: SimpleQueue[Any] = SimpleQueue()
-            self._out, self._delta = out, delta
+            responses: SimpleQueue[Any] = SimpleQueue()
+            self._responses, self._delta = responses, delta
             self.streams += 1
-        threading.Thread(target=self._read_requests, args=(requests, out), daemon=True).start()
-        context.add_callback(lambda: out.put(None))
-        yield from iter(out.get, None)
+        threading.Thread(target=self._read_requests, args=(requests, responses), daemon=True).start()
+        context.add_callback(lambda: responses.put(None))
+        yield from iter(responses.get, None)
 
-    def _read_requests(self, requests: Iterator[Any], out: SimpleQueue[Any]) -> None:
+    def _read_requests(self, requests: Iterator[Any], responses: SimpleQueue[Any]) -> None:
         try:
             for request in requests:
                 self.asked.put(request)
-        except Exception:  # grpcio reports the end of a stream by errors of several types
-            out.put(None)
+        except Exception:  # grpcio reports the end of a stream by exceptions of several types
+            responses.put(None)
 
     def push(
         self,
@@ -59,10 +59,10 @@
         removed: tuple[str, ...] = (),
         inner: str = "",
     ) -> str:
-        """Push these resources by name; the nonce of the response.
+        """Push resources by name, and return the nonce of the response.
 
-        The version is the number of pushes so far. `inner` is the type URL inside each resource, where it
-        is to differ from `type_url`.
+        The version is the number of pushes so far. `inner` is the type URL inside each resource if it should
+        differ from `type_url`.
         """
         self._pushes += 1
         version = str(self._pushes)
@@ -88,12 +88,12 @@
             response = discovery_pb2.DiscoveryResponse(
                 version_info=version, nonce=nonce, type_url=type_url, resources=resources.values()
             )
-        self._out.put(response)
+        self._responses.put(response)
         return nonce
 
     def cut(self) -> None:
         """End the current stream."""
-        self._out.put(None)
+        self._responses.put(None)
 
     def close(self) -> None:
         """End the stream and the server."""
--- a/cairnvane/testbed/stand_ins/sockets.py
+++ b/cairnvane/testbed/stand_ins/sockets.py
@@ -1,4 +1,4 @@
-"""Ports and listening sockets of the stand-ins: a thread for each connection, ended with the stand-in."""
+"""Ports and listening sockets of the stand-ins, with one thread per connection."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from typing import NamedTuple
 
 HOST = "127.0.0.1"
-# Ports are taken from below the range that the system uses for outgoing connections.
+# Ports are chosen below the range that the system uses for outgoing connections.
 LOWEST_PORT = 20_000
 HIGHEST_PORT = 32_000
-# A port that was handed out belongs to this process until it ends, also while nobody listens there: a server
-# that was killed comes back to it. Other testbeds on this machine recognize it by a datagram socket on this
-# address, which nothing else uses.
+# A port stays reserved for this process until it exits, even while nothing listens on it, since a killed
+# server is restarted on the same port. Other testbeds on this machine detect the reservation by a datagram
+# socket on this address, which is used for nothing else.
 RESERVATION_HOST = "127.77.0.1"
 RECEIVE_BYTES = 65_536
 BACKLOG = 256
@@ -23,14 +23,14 @@
 
 
 class HttpRequest(NamedTuple):
-    """A request as a stand-in reads it."""
+    """An HTTP request that a stand-in received."""
 
     headers: dict[str, str]  # names in lower case
     body: bytes
 
 
 def free_ports(count: int, above: int = 0) -> list[int]:
-    """Ports that are free for datagrams and connections, each with `above` more free ones following it."""
+    """Reserve ports that are free for UDP and TCP, each followed by `above` more free ones."""
     ports: list[int] = []
     rng = random.SystemRandom()
     while len(ports) < count:
@@ -47,7 +47,7 @@
 
 
 def _reserve(port: int) -> socket.socket | None:
-    """The socket that reserves this port; None if the port is in use or reserved already."""
+    """The socket that reserves this port; None if the port is in use or already reserved."""
     reservation = socket.socket(type=socket.SOCK_DGRAM)
     try:
         reservation.bind((RESERVATION_HOST, port))
@@ -60,11 +60,11 @@
 
 
 class Listener:
-    """Serves each connection by a script, on a loopback port of the system's choice."""
+    """Listens on a loopback port that the system assigns, and serves each connection with a function."""
 
-    def __init__(self, script: Callable[[socket.socket], None]) -> None:
-        """`script` runs in a thread of its own for each connection, which is closed when it returns."""
-        self._script = script
+    def __init__(self, handler: Callable[[socket.socket], None]) -> None:
+        """`handler` runs in a separate thread for each connection, which is closed when it returns."""
+        self._handler = handler
         self._socket = socket.create_server((HOST, 0), backlog=BACKLOG)
         self._lock = threading.Lock()  # guards `_connections`
         self._connections: set[socket.socket] = set()
@@ -85,12 +85,12 @@
         with self._lock:
             self._connections.add(sock)
         with sock, contextlib.suppress(OSError):
-            self._script(sock)
+            self._handler(sock)
         with self._lock:
             self._connections.discard(sock)
 
     def close(self) -> None:
-        """Accept no more connections, and end the open ones."""
+        """Stop listening and shut the open connections down."""
         shut(self._socket)
         self._socket.close()
         with self._lock:
@@ -100,13 +100,13 @@
 
 
 def shut(sock: socket.socket) -> None:
-    """Shut a connection down in both directions, if it is still open."""
+    """Shut a connection down in both directions if it is still open."""
     with contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
 
 
 def read_http(sock: socket.socket) -> HttpRequest | None:
-    """The next request of a connection; None at its end."""
+    """Read the next request from a connection; None at its end."""
     data = b""
     while b"\r\n\r\n" not in data:
         if not (received := sock.recv(RECEIVE_BYTES)):
--- a/cairnvane/testbed/stand_ins/vault.py
+++ b/cairnvane/testbed/stand_ins/vault.py
@@ -11,11 +11,11 @@
 from .crowding import Crowding
 from .sockets import Listener, read_http
 
-# A vault that broke down under overload rejects all calls for this time.
+# After a breakdown under overload the vault rejects all calls for this time.
 OUTAGE_S = 1.0
 _REJECTION = b"HTTP/1.1 503 No\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n"
 _RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nbalance"
-# What is no reply: a length below 0, a body cut short, a head without an end, noise. The call has run.
+# Malformed replies: a negative length, a truncated body, an endless header, random bytes. The call has run.
 _GARBLED_RESPONSES = (
     b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nbalance",
     b"HTTP/1.1 200 OK\r\nContent-Length: 70\r\n\r\nbal",
@@ -25,33 +25,33 @@
 
 
 class StandInVault:
-    """A dependency that answers every call, and counts calls by their body.
+    """A dependency that answers every call and counts calls by their body.
 
-    With `slots`, it slows down in proportion when more calls than these are in flight, and breaks down for
-    `OUTAGE_S` when there are `falls_at` times as many. The public fields `slowdown`, `down` and `silent` are
-    faults that a testbed sets while it serves.
+    With `slots`, it slows down proportionally when more calls than slots are in flight, and breaks down for
+    `OUTAGE_S` when their number reaches `falls_at` times the slots. The testbed injects faults by setting the
+    public fields `slowdown`, `down`, `silent` and `garbled_share`.
     """
 
     def __init__(
         self, took_s: float = 0.002, slots: int = 0, falls_at: float = 5.0, linger_s: float = 0.0
     ) -> None:
-        """`took_s`: the duration of a call without faults and without overload.
+        """`took_s`: the duration of a call without faults and overload.
 
-        `linger_s`: the longest that a call is in flight after its client has given it up.
+        `linger_s`: the maximum time that a call stays in flight after its client has abandoned it.
         """
         self._linger_s = linger_s
         self.calls: Counter[bytes] = Counter()
-        self.slowdown = 1.0  # a fault: calls take so many times as long
-        self.down = False  # a fault: calls are rejected unseen
-        self.silent = False  # a fault: calls are taken and never answered
-        self.garbled_share = 0.0  # a fault: so many replies can't be read, and end their connection
-        self.calls_held = Crowding()  # calls in flight over time
+        self.slowdown = 1.0  # fault: factor on the duration of calls
+        self.down = False  # fault: calls are rejected without having run
+        self.silent = False  # fault: calls are accepted and never answered
+        self.garbled_share = 0.0  # fault: fraction of malformed replies, each of which ends its connection
+        self.in_flight_history = Crowding()  # calls in flight over time
         self._random = random.Random(took_s)
         self.in_flight = 0
         self.max_in_flight = 0
         self.outages = 0  # breakdowns under overload
         self.rejected = 0
-        self.calls_during_faults = 0  # arrived while it was slow, down, silent or broken down
+        self.calls_during_faults = 0  # calls that arrived while it was slow, down, silent or broken down
         self.over_capacity_s = 0.0  # time with more calls in flight than slots
         self._in_flight_changed_at = time.monotonic()
         self._outage_until = 0.0
@@ -80,7 +80,7 @@
             if is_abandoned:
                 return
             if self.silent:
-                sock.recv(1)  # returns when the client gives up
+                sock.recv(1)  # returns when the client disconnects
                 return
             if self._random.random() < self.garbled_share:
                 sock.sendall(self._random.choice(_GARBLED_RESPONSES))
@@ -88,7 +88,7 @@
             sock.sendall(_RESPONSE)
 
     def _is_abandoned_within(self, sock: socket.socket, duration_s: float) -> bool:
-        """Spend so many seconds on a call, but no longer than it lingers once its client gave it up."""
+        """Wait for the duration of a call; True if its client abandons it, which ends it after `linger_s`."""
         ends_at = time.monotonic() + duration_s
         sock.settimeout(duration_s)
         try:
@@ -106,15 +106,15 @@
             self.over_capacity_s += now - self._in_flight_changed_at
         self._in_flight_changed_at = now
         self.in_flight += change
-        self.calls_held.record(now, self.in_flight)
+        self.in_flight_history.record(now, self.in_flight)
 
     def highest_mean_calls(self, window_s: float) -> float:
-        """The highest mean number of calls in flight, over any window of so many seconds."""
+        """Highest mean number of calls in flight over any window of `window_s` seconds."""
         with self._lock:
-            return self.calls_held.highest_mean(window_s, time.monotonic())
+            return self.in_flight_history.highest_mean(window_s, time.monotonic())
 
     def _admit(self) -> float | None:
-        """The duration of this call in seconds; None: it is rejected unseen."""
+        """The duration of this call in seconds; None if it is rejected without having run."""
         now = time.monotonic()
         self.calls_during_faults += self.slowdown > 1 or self.down or self.silent or now < self._outage_until
         if self._slots and self.in_flight >= self._falls_at * self._slots and now >= self._outage_until:
--- a/cairnvane/testbed/stand_ins/worker_pool.py
+++ b/cairnvane/testbed/stand_ins/worker_pool.py
@@ -1,9 +1,10 @@
-"""A stand-in worker pool: it runs requests, keeps its notices, and records every run for the checkers.
+"""A stand-in worker pool, which runs requests, keeps its notices and records every run for the checkers.
 
-It outlives the server, as a pool on the same machine may, or is restarted with it. A run has its effect as
-soon as it begins; a second `spawn` of a request whose run has ended is a second run, as the protocol says,
-unless the request is over: then the end `late` is reported, and nothing runs. A run whose request is over
-ends at its call. While the cores are frozen no run gets on, and a cancellation has no effect.
+It may outlive the server, like a pool on the same machine, or be restarted with it. A run takes effect as
+soon as it begins. According to the protocol, a second `spawn` of a request whose run has ended starts a
+second run, unless the request is over: then the pool reports the end `late`, and nothing runs. A run whose
+request is over ends at its call. While the cores are frozen, runs make no progress and cancellations have no
+effect.
 """
 
 from __future__ import annotations
@@ -23,9 +24,9 @@
 from .crowding import Crowding
 from .sockets import Listener, shut
 
-# Number of notices that the protocol keeps for a link that comes back.
+# Number of notices that the protocol keeps for a reconnecting link.
 MAX_KEPT_NOTICES = 4_000
-# Number of cores that the gauges are relative to where the pool has no bound on cores.
+# Number of cores to which the gauges relate if the pool has no limit on cores.
 DEFAULT_GAUGE_CORES = 16
 
 
@@ -35,13 +36,13 @@
 
     uid: str
     body: bytes
-    began: float  # on the monotonic clock
-    blocked: bool = False  # it waits for the result of its call
+    started_at: float  # on the monotonic clock
+    blocked: bool = False  # whether it waits for the result of its call
 
 
 @dataclass
 class RunRecord:
-    """What the pool knows of one request, by its body. It outlasts restarts of the pool: checkers read it."""
+    """The runs of one request, identified by its body. Kept across restarts of the pool, for checkers."""
 
     runs: int = 0
     results: list[bytes] = field(default_factory=list)
@@ -50,10 +51,10 @@
 
 
 class StandInPool:
-    """A worker pool in which each run works for some milliseconds, before and again after its call.
+    """A worker pool in which each run works for some milliseconds before its call, and again after it.
 
-    Requests whose class is in `calls` ask for a call first. With `cores`, no more runs than these are worked
-    on at a time, and the others wait. Its methods may be called from any thread.
+    Requests whose class is in `calls` make a call. With `cores`, at most that many runs work at a time, and
+    the others wait. Any thread may call its methods.
     """
 
     def __init__(
@@ -64,14 +65,14 @@
         result_bytes: tuple[int, int] = (20, 600),
         cores: int = 0,
     ) -> None:
-        """`work_ms` and `result_bytes` are the bounds between which each is drawn."""
+        """`work_ms` and `result_bytes` are the bounds of the drawn values."""
         self.records: dict[bytes, RunRecord] = {}
-        self.max_runnable = 0  # the most runs that wanted a core at a time
-        self.crowding = Crowding()
-        # Whether a request, by its id, has been answered or given up: no run begins for it then.
+        self.max_runnable = 0  # maximum number of runnable runs at a time
+        self.runnable_history = Crowding()
+        # Whether a request, by its id, has been answered or has timed out, so that no run may begin for it.
         self.is_over: Callable[[str], bool] = lambda uid: False
-        self.repeated_spawns = 0  # of runs that were going on
-        self.work_factor = 1.0  # a fault: work that begins takes so many times as long
+        self.repeated_spawns = 0  # spawns of runs that were in progress
+        self.work_factor = 1.0  # fault: factor on the duration of work that begins
         self.incarnation = 0  # the current one, counted from 1
         self._random = random.Random(seed)
         self._calls = calls
@@ -80,12 +81,12 @@
         self._cores = cores
         self._lock = threading.RLock()  # guards everything below, and the records
         self._changed = threading.Condition(self._lock)
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []  # due time, order, task
-        self._scheduled = 0
+        self._tasks: list[tuple[float, int, Callable[[], None]]] = []  # due time, order, task
+        self._scheduled_count = 0
         self._link: socket.socket | None = None
         self._closed = False
         self._frozen_at: float | None = None  # on the monotonic clock
-        self._frozen_s = 0.0  # in all, up to the last thaw
+        self._frozen_s = 0.0  # total time frozen, up to the last thaw
         self._begin_incarnation()
         self._listener = Listener(self._serve)
         self.address = self._listener.address
@@ -94,7 +95,7 @@
     def _begin_incarnation(self) -> None:
         self.incarnation += 1
         self._started_at = time.monotonic()
-        self._incarnation_token = object()  # tasks of an earlier incarnation hold another one
+        self._incarnation_token = object()  # tasks of an earlier incarnation hold a different token
         self._position = 0  # of the last notice
         self._notices: list[tuple[int, bytes]] = []
         self._running: dict[str, Run] = {}
@@ -102,20 +103,20 @@
         self._on_cores: set[Run] = set()
 
     def restart(self) -> None:
-        """Discard all runs, count notices from 1 again, and report that the pool has only just started."""
+        """Discard all runs, restart the notice positions at 1, and report the pool as newly started."""
         with self._lock:
             self._begin_incarnation()
             if self._link is not None:
                 shut(self._link)
 
     def freeze(self) -> None:
-        """From now on the cores stand still: commands are read, but no run gets on or is stopped."""
+        """Freeze the cores: commands are read, but runs make no progress and are not cancelled."""
         with self._lock:
             if self._frozen_at is None:
                 self._frozen_at = time.monotonic()
 
     def thaw(self) -> None:
-        """The cores work again, where they stood still."""
+        """Unfreeze the cores, which continue where they stopped."""
         with self._lock:
             if self._frozen_at is not None:
                 self._frozen_s += time.monotonic() - self._frozen_at
@@ -123,17 +124,17 @@
                 self._changed.notify_all()
 
     def highest_mean_runnable(self, window_s: float) -> float:
-        """The highest mean number of runs that wanted a core, over any window of so many seconds."""
+        """Highest mean number of runnable runs over any window of `window_s` seconds."""
         with self._lock:
-            return self.crowding.highest_mean(window_s, time.monotonic())
+            return self.runnable_history.highest_mean(window_s, time.monotonic())
 
     @property
     def running(self) -> int:
-        """How many runs there are, on the cores or waiting for a call."""
+        """Number of runs, on the cores or waiting for a call."""
         return len(self._running)
 
     def close(self) -> None:
-        """End the pool."""
+        """Shut the pool down."""
         self._listener.close()
         with self._lock:
             self._closed = True
@@ -142,15 +143,15 @@
     # --- work, in one thread
 
     def _work_time(self) -> float:
-        """The monotonic clock, less the time in which the cores stood still."""
+        """The monotonic clock minus the time for which the cores were frozen."""
         now = time.monotonic() if self._frozen_at is None else self._frozen_at
         return now - self._frozen_s
 
     def _next_due_in(self) -> float | None:
-        """Seconds until the next task is due; None while nothing will fall due by itself."""
-        if not self._agenda or self._frozen_at is not None:
+        """Seconds until the next task is due; None while there is no task or the cores are frozen."""
+        if not self._tasks or self._frozen_at is not None:
             return None
-        return self._agenda[0][0] - self._work_time()
+        return self._tasks[0][0] - self._work_time()
 
     def _work(self) -> None:
         while True:
@@ -159,11 +160,11 @@
                     self._changed.wait(wait)
                 if self._closed:
                     return
-                task = heapq.heappop(self._agenda)[2]
+                task = heapq.heappop(self._tasks)[2]
                 task()
 
-    def _work_then(self, run: Run, task: Callable[[], None]) -> None:
-        """Work on one half of a run, once a core is free, then do the task."""
+    def _run_half_then(self, run: Run, task: Callable[[], None]) -> None:
+        """Work on one half of a run once a core is free, then execute the task."""
         if not self._cores:
             self._schedule(task)
             return
@@ -177,33 +178,33 @@
         while self._waiting_for_core and len(self._on_cores) < self._cores:
             run, task = self._waiting_for_core.pop(0)
             self._on_cores.add(run)
-            self._schedule(lambda run=run, task=task: self._release_core(run, task))  # type: ignore[misc]
+            self._schedule(lambda run=run, task=task: self._complete_half(run, task))  # type: ignore[misc]
         runnable = self._runnable()
         self.max_runnable = max(self.max_runnable, runnable)
-        self.crowding.record(time.monotonic(), runnable)
+        self.runnable_history.record(time.monotonic(), runnable)
 
-    def _release_core(self, run: Run, task: Callable[[], None]) -> None:
+    def _complete_half(self, run: Run, task: Callable[[], None]) -> None:
         if run not in self._on_cores:
-            return  # it was cancelled meanwhile
+            return  # the run was cancelled meanwhile
         self._on_cores.remove(run)
         task()
         self._assign_cores()
 
     def _leave_cores(self, run: Run) -> None:
-        """Give up the core of a run, or its wait for one."""
+        """Release the core of a run, or remove it from the queue for one."""
         self._on_cores.discard(run)
         self._waiting_for_core = [entry for entry in self._waiting_for_core if entry[0] is not run]
         self._assign_cores()
 
     def _schedule(self, task: Callable[[], None]) -> None:
-        """Do the task after the time of one half of a run, unless the pool is restarted meanwhile."""
+        """Execute the task after the duration of half a run, unless the pool is restarted meanwhile."""
         token = self._incarnation_token
-        self._scheduled += 1
+        self._scheduled_count += 1
         work_s = self._random.uniform(*self._work_ms) / 1e3 * self.work_factor
         due_at = self._work_time() + work_s
         heapq.heappush(
-            self._agenda,
-            (due_at, self._scheduled, lambda: task() if token is self._incarnation_token else None),
+            self._tasks,
+            (due_at, self._scheduled_count, lambda: task() if token is self._incarnation_token else None),
         )
         self._changed.notify()
 
@@ -218,11 +219,11 @@
     def _handle(self, sock: socket.socket, command: dict[str, Any]) -> None:
         action = command["action"]
         uid = command.get("uid", "")
-        self._end_over_at_calls()
+        self._end_blocked_runs_of_ended_requests()
         if action == "bind":
             self._bind(sock, command["pos"])
         elif sock is not self._link:
-            return  # from a link that has been replaced
+            return  # the command is from a link that has been replaced
         elif action == "spawn":
             self._spawn(uid, command["lane"], base64.b64decode(command["content"]))
         elif action == "supply":
@@ -233,7 +234,7 @@
             self._report_gauges(command["echo"])
 
     def _bind(self, sock: socket.socket, position: int) -> None:
-        """Take this link, and send the notices after the position that the server has read."""
+        """Use this link, and send the notices after the last position that the server has read."""
         self._link = sock
         age_ms = (time.monotonic() - self._started_at) * 1e3
         self._send(json.dumps({"action": "bound", "code": "running", "wall_ms": age_ms}).encode())
@@ -260,34 +261,36 @@
         record.runs += 1
         record.request_ids.add(uid)
         record.runs_by_incarnation[self.incarnation] += 1
-        self._work_then(run, lambda: self._request_call(run) if lane in self._calls else self._finish(run))
+        self._run_half_then(
+            run, lambda: self._request_call(run) if lane in self._calls else self._finish(run)
+        )
 
-    def _end_over_at_calls(self) -> None:
-        """End the runs that wait for a call and whose request is over, also while the cores stand still."""
+    def _end_blocked_runs_of_ended_requests(self) -> None:
+        """End the runs that wait for a call and whose request is over, even while the cores are frozen."""
         for run in [run for run in self._running.values() if run.blocked and self.is_over(run.uid)]:
-            self._break_off(run)
+            self._terminate(run)
 
-    def _break_off(self, run: Run) -> None:
+    def _terminate(self, run: Run) -> None:
         del self._running[run.uid]
         self._leave_cores(run)
-        self._notify("finished", run.uid, "broken_off", began=run.began)
+        self._notify("finished", run.uid, "broken_off", started_at=run.started_at)
 
     def _cancel(self, uid: str) -> None:
         if self._frozen_at is not None:
             return
         if (run := self._running.get(uid)) is not None:
-            self._break_off(run)
+            self._terminate(run)
 
     def _supply(self, uid: str) -> None:
         if (run := self._running.get(uid)) is not None and run.blocked:
             run.blocked = False
-            self._work_then(run, lambda: self._finish(run))
+            self._run_half_then(run, lambda: self._finish(run))
 
     def _request_call(self, run: Run) -> None:
         if self._running.get(run.uid) is not run:
             return
         if self.is_over(run.uid):
-            self._break_off(run)
+            self._terminate(run)
         else:
             run.blocked = True
             self._notify("blocked", run.uid, content=b"call for " + run.body)
@@ -296,10 +299,10 @@
         if self._running.get(run.uid) is not run:
             return
         del self._running[run.uid]
-        # Every run has a result of its own, so that a second run can't be mistaken for the first.
+        # Every run has a unique result, so that a second run can't be mistaken for the first.
         result = self._random.randbytes(self._random.randint(*self._result_bytes))
         self.records[run.body].results.append(result)
-        self._notify("finished", run.uid, "fine", result, run.began)
+        self._notify("finished", run.uid, "fine", result, run.started_at)
 
     def _notify(
         self,
@@ -307,7 +310,7 @@
         uid: str,
         code: str = "",
         content: bytes = b"",
-        began: float | None = None,
+        started_at: float | None = None,
     ) -> None:
         self._position += 1
         notice = {
@@ -315,7 +318,7 @@
             "pos": self._position,
             "uid": uid,
             "code": code,
-            "wall_ms": (time.monotonic() - began) * 1e3 if began is not None else 0.0,
+            "wall_ms": (time.monotonic() - started_at) * 1e3 if started_at is not None else 0.0,
             "content": base64.b64encode(content).decode(),
         }
         line = json.dumps(notice).encode()
--- a/tests/testbed/test_cluster_checker.py
+++ b/tests/testbed/test_cluster_checker.py
@@ -1,4 +1,4 @@
-"""The checker of cluster runs: rules, excuses, expectations and measurements."""
+"""The checker of cluster runs: rules, fault windows, expectations and measurements."""
 
 from __future__ import annotations
 
@@ -13,10 +13,12 @@
 from cairnvane.testbed.cluster.observations import KilledServer, Traffic, check_views, read_observations
 from cairnvane.testbed.stand_ins.worker_pool import RunRecord
 
-HEAD = "name: a\nservers: 3\nseconds: 10\n"
+SCENARIO_HEAD = "name: a\nservers: 3\nseconds: 10\n"
 
 SCENARIO = scenario_file.parse(
-    HEAD + "expect: {served: 0.9, back_within: 1, tries: 1.5}\nfaults:\n  - {do: kill, who: n0, at: 4}\n", "a"
+    SCENARIO_HEAD
+    + "expect: {served: 0.9, back_within: 1, tries: 1.5}\nfaults:\n  - {do: kill, who: n0, at: 4}\n",
+    "a",
 )
 
 
@@ -24,7 +26,7 @@
     number: int, *attempts: Attempt, idempotency_key: str | None = None, at: float = 1.0
 ) -> ClientRequest:
     request = ClientRequest(b"%d" % number, "bid-commit", at, idempotency_key, 0, list(attempts))
-    request.served_at = next((made.ended_at for made in attempts if made.status == 200), None)
+    request.served_at = next((one.ended_at for one in attempts if one.status == 200), None)
     return request
 
 
@@ -91,10 +93,10 @@
     assert verdict.wrong == getattr(verdict, count) == 1 and not verdict.good
 
 
-def test_a_few_attempts_that_never_ran_may_end_unread_in_a_handover() -> None:
+def test_up_to_two_attempts_per_handover_may_be_disconnected_before_they_run() -> None:
     windows = [FaultWindow(0, 1.4, 1.6, handover=True)]
     requests = [client_request(number, attempt(f"{number}", 0)) for number in range(3)]
-    scenario = scenario_file.parse(HEAD, "a")
+    scenario = scenario_file.parse(SCENARIO_HEAD, "a")
     verdict = check(scenario, 1, requests[:2], [{}], windows, 0.0)
     assert (verdict.at_door, verdict.lost, verdict.good) == (2, 0, True)
     assert check(scenario, 1, requests, [{}], windows, 0.0).short == [
@@ -104,7 +106,7 @@
     assert (ran.at_door, ran.lost) == (0, 1) and "broken off, ran" in ran.lost_tries[0]
 
 
-def test_a_run_in_each_of_two_incarnations_is_no_duplicate_run() -> None:
+def test_one_run_in_each_of_two_incarnations_is_not_a_duplicate_run() -> None:
     request = client_request(1, attempt("a", 200, result=b"r"), idempotency_key="t")
     assert (
         check(
@@ -124,7 +126,7 @@
 
 def test_retries_after_a_rejection_and_weighted_service_around_a_fault_are_measured() -> None:
     scenario = scenario_file.parse(
-        HEAD + "faults:\n  - {do: slow, who: vault, at: 2, for: 3, times: 4}\n", "a"
+        SCENARIO_HEAD + "faults:\n  - {do: slow, who: vault, at: 2, for: 3, times: 4}\n", "a"
     )
     requests = [
         client_request(1, attempt("a", 200), at=1.0),
@@ -138,11 +140,11 @@
 
 
 def test_only_a_servers_own_failure_verdicts_on_healthy_members_are_counted() -> None:
-    logged_by = "INFO cairnvane.server.composition: "
+    logger_prefix = "INFO cairnvane.server.composition: "
     lines = [
-        logged_by + "member.failed name=n1 life=1 incarnation=0 by=2 accusers=3 probed=3",
-        logged_by + "member.failed name=n1 life=1 incarnation=0 by=2",
-        logged_by + "member.failed name=n2 life=1 incarnation=0 by=2 accusers=1 probed=3",
+        logger_prefix + "member.failed name=n1 life=1 incarnation=0 by=2 accusers=3 probed=3",
+        logger_prefix + "member.failed name=n1 life=1 incarnation=0 by=2",
+        logger_prefix + "member.failed name=n2 life=1 incarnation=0 by=2 accusers=1 probed=3",
     ]
     observations = read_observations("n0", lines, [11.0, 11.5, 12.0], 10.0)
     scenario = scenario_file.parse(
--- a/tests/testbed/test_cluster_runs.py
+++ b/tests/testbed/test_cluster_runs.py
@@ -20,7 +20,7 @@
 
 
 def test_a_killed_and_restarted_server_breaks_no_rule(tmp_path: Path) -> None:
-    """Runs the scenario of the command's default; its own expectations need a machine with idle cores."""
+    """Runs the default scenario. Its own expectations need a machine with idle cores and are not checked."""
     events = tmp_path / "events.jsonl"
     _, verdict, output = run_scenario(tmp_path, "--seed", "3", "--events", str(events))
     wrong = {name: verdict[name] for name in ("lost", "twice", "refused_after_run", "differing", "invented")}
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("name", ["roll", "held-up"])
 def test_members_agree_and_break_no_rule_in_hard_scenarios(name: str, tmp_path: Path) -> None:
-    """Further expectations of these scenarios need a machine with idle cores."""
+    """The other expectations of these scenarios are not checked: they need a machine with idle cores."""
     _, verdict, output = run_scenario(
         tmp_path, str(scenario_file.shipped().with_name(f"{name}.yaml")), "--seed", "2"
     )
--- a/tests/testbed/test_frozen_cores.py
+++ b/tests/testbed/test_frozen_cores.py
@@ -1,6 +1,6 @@
-"""A real process whose machine stands still while its link to the worker pool breaks again and again.
+"""A server process whose machine has frozen cores while its link to the worker pool is reset repeatedly.
 
-The failure and its evidence: `tests/server/test_cancelled_runs.py`.
+`tests/server/test_cancelled_runs.py` describes the failure that this guards against.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from cairnvane.testbed.cluster.scenario_run import Play
 
 
-def test_a_machine_that_stands_still_is_not_given_more_than_it_survives(tmp_path: Path) -> None:
+def test_a_machine_with_frozen_cores_is_not_overloaded(tmp_path: Path) -> None:
     scenario = scenario_file.load(scenario_file.shipped().with_name("frozen-cores.yaml"))
     verdict = Play(scenario, 1, tmp_path).run()
     assert verdict.overloaded == 0, "\n".join(verdict.lines())
--- a/tests/testbed/test_frozen_pool.py
+++ b/tests/testbed/test_frozen_pool.py
@@ -1,4 +1,4 @@
-"""The stand-in pool's cores: crowding, cancellations, and a standstill."""
+"""The cores of the stand-in pool: runnable runs, cancellations and frozen cores; and repeated faults."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         return message
 
     def poll(self) -> dict[str, Any]:
-        """The gauges; no notice may come before them."""
+        """Poll the gauges; fails if a notice arrives before them."""
         self.send(action="poll", echo="q")
         message = self.receive()
         assert message["action"] == "polled", message
@@ -59,7 +59,7 @@
         pool.close()
 
 
-def test_a_cancelled_run_leaves_its_core_to_the_next_one() -> None:
+def test_a_cancelled_run_releases_its_core_to_the_next_run() -> None:
     with linked_pool(60_000) as (pool, client):
         client.spawn("a")
         client.spawn("b")
@@ -69,7 +69,7 @@
         assert pool.max_runnable == 2
 
 
-def test_while_the_cores_stand_still_no_run_ends_and_none_is_cancelled() -> None:
+def test_while_the_cores_are_frozen_no_run_ends_or_is_cancelled() -> None:
     with linked_pool(1) as (pool, client):
         pool.freeze()
         client.spawn("a")
@@ -87,7 +87,7 @@
         assert pool.records == {}
 
 
-def test_a_second_spawn_of_a_run_that_goes_on_is_counted_and_changes_nothing() -> None:
+def test_a_second_spawn_of_a_run_in_progress_is_counted_and_ignored() -> None:
     with linked_pool(60_000) as (pool, client):
         client.spawn("a")
         client.spawn("a")
@@ -99,7 +99,7 @@
     [
         ([], 1.5, 10.0, 0.0),
         ([(0.0, 4)], 2.0, 2.0, 4.0),
-        ([(0.0, 4)], 2.0, 1.0, 2.0),  # before the first change nothing ran
+        ([(0.0, 4)], 2.0, 1.0, 2.0),  # the count is 0 before the first change
         ([(0.0, 10), (0.5, 0), (2.0, 6), (4.0, 0)], 1.0, 4.0, 6.0),
         ([(0.0, 10), (0.5, 0), (2.0, 6), (4.0, 0)], 0.5, 4.0, 10.0),
     ],
@@ -107,13 +107,13 @@
 def test_the_highest_mean_of_any_window_is_found(
     changes: list[tuple[float, int]], window_s: float, until: float, mean: float
 ) -> None:
-    crowding = Crowding()
+    history = Crowding()
     for at, runnable in changes:
-        crowding.record(at, runnable)
-    assert crowding.highest_mean(window_s, until) == pytest.approx(mean)
+        history.record(at, runnable)
+    assert history.highest_mean(window_s, until) == pytest.approx(mean)
 
 
-def test_a_repeated_fault_begins_again_to_the_end_of_the_load() -> None:
+def test_a_fault_with_an_interval_is_repeated_until_the_load_ends() -> None:
     scenario = scenario_file.parse(
         "name: a\nseconds: 5\nfaults:\n  - {do: reset, link: [n0, pool], at: 1, for: 0.1, every: 1.5}\n", "a"
     )
--- a/tests/testbed/test_scenario_file.py
+++ b/tests/testbed/test_scenario_file.py
@@ -13,9 +13,9 @@
 from cairnvane.testbed.cluster.schedule import draw
 from cairnvane.testbed.experiments import overload
 
-HEAD = "name: a\nservers: 3\nseconds: 10\n"
+SCENARIO_HEAD = "name: a\nservers: 3\nseconds: 10\n"
 
-FAULT, MEMBERS = HEAD + "faults:\n  - ", HEAD + "members: true\n"
+FAULT, MEMBERS = SCENARIO_HEAD + "faults:\n  - ", SCENARIO_HEAD + "members: true\n"
 
 
 @pytest.mark.parametrize(
@@ -24,21 +24,24 @@
         ("name: a\nservers: 99\n", "line 2: servers: 99 is not between 1 and 24"),
         ("name: a\nservers: two\n", "line 2: servers: Expected `int`, got `str`"),
         ("name: a\nsecond: 9\n", "unknown field `second`"),
-        (HEAD + "load:\n  rate: 0\n", "line 5: load.rate: 0 is not between 0.1 and 400"),
+        (SCENARIO_HEAD + "load:\n  rate: 0\n", "line 5: load.rate: 0 is not between 0.1 and 400"),
         (FAULT + "{do: kill, who: n3, at: 1}\n", "line 5: faults[0].who: 'n3' is none of n0, n1, n2"),
         (FAULT + "{do: kill, who: n1, at: 1}\n  - do: kil\n    at: 1\n", "line 6: faults[1].do: 'kil' is"),
-        (FAULT + "{do: stop, who: n1, at: 1}\n", "'stop' needs to say for how many seconds"),
-        (FAULT + "{do: kill, who: n1, at: 1, for: 2}\n", "'kill' happens at once"),
+        (FAULT + "{do: stop, who: n1, at: 1}\n", "'stop' needs a duration in seconds"),
+        (FAULT + "{do: kill, who: n1, at: 1, for: 2}\n", "'kill' is instantaneous"),
         (FAULT + "{do: cut, at: 8, for: 4, link: [n0, vault]}\n", "for: 4 is not between 0 and 2"),
-        (FAULT + "{do: cut, at: 1, for: 1, link: [pool, vault]}\n", "one end at the least is"),
-        (FAULT + "{do: reorder, at: 1, for: 1, link: [n0, pool]}\n", "exists between servers alone"),
-        (FAULT + "{do: cut, at: 1, for: 1, link: [n0, n1]}\n", "only with `members: true`"),
-        (HEAD + "expect: {called_dead: 0}\n", "line 4: expect.called_dead: needs `members: true`"),
+        (FAULT + "{do: cut, at: 1, for: 1, link: [pool, vault]}\n", "at least one end must be a server"),
+        (FAULT + "{do: reorder, at: 1, for: 1, link: [n0, pool]}\n", "is only possible between servers"),
+        (
+            FAULT + "{do: cut, at: 1, for: 1, link: [n0, n1]}\n",
+            "links between servers exist only with `members: true`",
+        ),
+        (SCENARIO_HEAD + "expect: {called_dead: 0}\n", "line 4: expect.called_dead: needs `members: true`"),
         (MEMBERS + "expect: {held_up: [n7]}\n", "line 5: expect.held_up[0]: 'n7' is none of n0, n1, n2"),
         (MEMBERS + "expect: {sights: {n0: alone}}\n", "expect.sights.n0: 'alone' is none of together,"),
         (
             MEMBERS + "faults:\n  - {do: cut, at: 1, for: 1, way: there, link: [n0, servers]}\n",
-            "says nothing",
+            "is ambiguous",
         ),
         (
             MEMBERS + "faults:\n  - {do: cut, at: 1, for: 1, link: [n0, [n1, n9]]}\n",
@@ -54,10 +57,13 @@
     assert message in str(error.value) and str(error.value).startswith("file.yaml")
 
 
-def test_a_seed_determines_the_schedule_and_a_further_fault_changes_no_other() -> None:
+def test_a_seed_determines_the_schedule_and_adding_a_fault_changes_no_other_fault() -> None:
     faults = "faults:\n  - {do: kill, who: any, at: 1, jitter: 5}\n"
-    more = faults + "  - {do: cut, at: 2, for: 1, jitter: 3, link: [n0, vault]}\n"
-    one, two = scenario_file.parse(HEAD + faults, "a"), scenario_file.parse(HEAD + more, "a")
+    with_further_fault = faults + "  - {do: cut, at: 2, for: 1, jitter: 3, link: [n0, vault]}\n"
+    one, two = (
+        scenario_file.parse(SCENARIO_HEAD + faults, "a"),
+        scenario_file.parse(SCENARIO_HEAD + with_further_fault, "a"),
+    )
     assert draw(one, 5) == draw(one, 5)
     assert {draw(one, seed)[0].who for seed in range(20)} == {"n0", "n1", "n2"}
     assert draw(one, 5)[0] in draw(two, 5)
