--- a/tests/testbed/test_server_process.py
+++ b/tests/testbed/test_server_process.py
@@ -1,4 +1,4 @@
-"""Processes of the real program end with the testbed that started them."""
+"""Server processes exit when the testbed that started them is killed."""
 
 from __future__ import annotations
 
@@ -15,54 +15,58 @@
 
 
 def is_running(pid: int) -> bool:
-    """Whether it has not ended; nobody may be there to collect it."""
+    """Whether the process has not exited; a zombie has, even if no parent has reaped it."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except FileNotFoundError:
         return False
 
 
-# Loaded by the interpreter before anything of ours: nobody is told its parent before the file is there.
-LATE_PARENT = """
+# Loaded by the interpreter at startup: delays the result of `os.getppid` until the file exists.
+DELAYED_GETPPID = """
 import os, time
 from pathlib import Path
 getppid, killed = os.getppid, Path({path!r})
-def getppid_after_the_kill():
+def getppid_after_kill():
     while not killed.exists():
         time.sleep(0.01)
     return getppid()
-os.getppid = getppid_after_the_kill
+os.getppid = getppid_after_kill
 """
 
-TESTBED = """
+TESTBED_SCRIPT = """
 import sys, time
 from pathlib import Path
 from cairnvane.testbed import server_process
 from cairnvane.testbed.cluster.nodes import settings
 from cairnvane.testbed.cluster.scenario import Scenario
-nowhere = "127.0.0.1:1"
-site = server_process.Site(Path(sys.argv[1]), nowhere, nowhere, nowhere, settings(Scenario("a")))
-life = server_process.start(site)
-assert life.listens()
-print(life.process.pid, flush=True)
+unused = "127.0.0.1:1"
+site = server_process.Site(Path(sys.argv[1]), unused, unused, unused, settings(Scenario("a")))
+server = server_process.start(site)
+assert server.listens()
+print(server.process.pid, flush=True)
 time.sleep(60)
 """
 
 
-@pytest.mark.parametrize("parent_asked", ["before", "after"])
-def test_a_server_ends_when_the_testbed_that_started_it_is_killed(parent_asked: str, tmp_path: Path) -> None:
-    """Whether the server asks for its parent's process id before the testbed is killed or after that.
+@pytest.mark.parametrize("getppid_called", ["before", "after"])
+def test_a_server_exits_when_its_testbed_is_killed(getppid_called: str, tmp_path: Path) -> None:
+    """The server asks for its parent's process id before or after the testbed is killed.
 
-    Guards against a server that takes the id which it gets after that for the testbed's, and so never ends.
+    Guards against a server that asks after the kill, takes the returned id for the testbed's, and never
+    exits.
     """
     environment, killed = dict(os.environ), tmp_path / "killed"
-    if parent_asked == "after":
-        late = tmp_path / "late"
-        late.mkdir()
-        (late / "sitecustomize.py").write_text(LATE_PARENT.format(path=str(killed)))
-        environment["PYTHONPATH"] = os.pathsep.join([str(late), str(Path(__file__).parents[2])])
+    if getppid_called == "after":
+        site_folder = tmp_path / "site_folder"
+        site_folder.mkdir()
+        (site_folder / "sitecustomize.py").write_text(DELAYED_GETPPID.format(path=str(killed)))
+        environment["PYTHONPATH"] = os.pathsep.join([str(site_folder), str(Path(__file__).parents[2])])
     testbed = subprocess.Popen(
-        [sys.executable, "-c", TESTBED, str(tmp_path)], stdout=subprocess.PIPE, text=True, env=environment
+        [sys.executable, "-c", TESTBED_SCRIPT, str(tmp_path)],
+        stdout=subprocess.PIPE,
+        text=True,
+        env=environment,
     )
     assert testbed.stdout is not None
     with testbed.stdout:
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what it draws, the rules that it checks, and a few short seeds on real processes."""
+"""The soak test: drawn scenarios, checked rules, and a few short seeds with real processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from cairnvane.testbed.cluster.checker import Verdict
 from cairnvane.testbed.soak import drawing, runner
 
-SHORT = drawing.Bounds(seconds=8.0, max_servers=2)
+SHORT_BOUNDS = drawing.Bounds(seconds=8.0, max_servers=2)
 DRAWN_SEEDS = range(200)
 
 
-def test_a_seed_draws_the_same_scenario_again() -> None:
+def test_a_seed_always_draws_the_same_scenario() -> None:
     for seed in DRAWN_SEEDS:
-        assert drawing.draw(seed, SHORT) == drawing.draw(seed, SHORT)
+        assert drawing.draw(seed, SHORT_BOUNDS) == drawing.draw(seed, SHORT_BOUNDS)
 
 
 def test_all_faults_end_with_the_load_and_every_kind_is_drawn() -> None:
@@ -54,11 +54,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_no_rule_is_broken_in_a_short_soak(seed: int) -> None:
-    result = runner.play_seed(seed, SHORT, keep=None)
+    result = runner.play_seed(seed, SHORT_BOUNDS, keep=None)
     assert result.good, result.line()
 
 
 @pytest.mark.parametrize("seeds", ["x", "5-1", "1-", "-3"])
-def test_seeds_that_are_no_range_are_named(seeds: str) -> None:
+def test_an_invalid_range_of_seeds_is_reported(seeds: str) -> None:
     result = CliRunner().invoke(main, ["lab", "soak", f"--seeds={seeds}"])
     assert result.exit_code == 2 and repr(seeds) in result.output
--- a/tests/testbed/test_stand_ins.py
+++ b/tests/testbed/test_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins: vault, balancer, and the ports that are reserved for servers."""
+"""The stand-ins: vault, balancer and reserved ports."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
             sock.sendall(b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\nx")
             sock.recv(100)
 
-    for sick, calls in ((1.0, 1), (2.0, 2)):
-        vault.slowdown = sick
+    for slowdown_factor, calls in ((1.0, 1), (2.0, 2)):
+        vault.slowdown = slowdown_factor
         threads = [threading.Thread(target=call) for _ in range(calls)]
         for thread in threads:
             thread.start()
@@ -40,8 +40,8 @@
     vault.close()
 
 
-def test_a_reserved_port_stays_reserved_while_nobody_listens_there() -> None:
-    """Two rigs on one machine: a server of one is killed, and must not come back as a server of the other."""
+def test_a_port_stays_reserved_while_nothing_listens_on_it() -> None:
+    """Guards against a second testbed that takes the port of a killed server before its restart."""
     (port,) = free_ports(1)
     with socket.create_server(("127.0.0.1", port)):
         pass
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize(("closes", "status"), [(1, 200), (2, 0)])
-def test_the_balancer_resends_a_request_that_crossed_a_close_once(
+def test_the_balancer_resends_a_request_once_if_its_connection_was_closed_meanwhile(
     closes: int,
     status: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against counting a request as lost that was sent while the server closed an idle connection.
+    """Guards against counting a request as lost if the server closed the idle connection while it was sent.
 
-    It is resent once only: a server that closes on it again has lost it.
+    It is resent only once: if the server closes that connection too, the request counts as disconnected.
     """
     monkeypatch.setattr(balancer, "CLOSE_RACE_S", WAIT_S)
     closes_left = iter([True] * closes)
--- a/tests/testbed/test_testbed_links.py
+++ b/tests/testbed/test_testbed_links.py
@@ -1,4 +1,4 @@
-"""The testbed's links: what faults make of streams and datagrams."""
+"""The testbed's links: effects of faults on streams and datagrams."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from cairnvane.testbed.stand_ins.sockets import Listener
 
 
-def test_streams_keep_their_order_and_lose_nothing() -> None:
+def test_streams_keep_their_order_and_lose_no_data() -> None:
     direction = Direction(random.Random(1))
     direction.faults = {1: LinkFault("delay", delay_s=0.1, spread_s=0.1), 2: LinkFault("drop", share=0.3)}
     arrivals = [
@@ -70,14 +70,14 @@
     def connect() -> socket.socket:
         sock = socket.create_connection(("127.0.0.1", link.port), WAIT_S)
         sock.settimeout(WAIT_S)
-        sock.sendall(b"one")  # it has got through before anything is done to the link
+        sock.sendall(b"one")  # the connection is established before any fault is applied
         assert sock.recv(9) == b"one"
         return sock
 
     return link, connect
 
 
-def test_a_cut_delays_data_until_it_is_over(network: Network) -> None:
+def test_a_cut_delays_data_until_it_ends(network: Network) -> None:
     link, connect = link_to_echo_server(network)
     sock = connect()
     network.set_fault(link, "back", 1, LinkFault("cut"))
@@ -90,7 +90,7 @@
     assert sock.recv(9) == b"two"
 
 
-def test_a_connection_that_lost_data_to_a_stall_is_reset_after_it(network: Network) -> None:
+def test_a_connection_that_lost_data_in_a_stall_is_reset_when_the_stall_ends(network: Network) -> None:
     link, connect = link_to_echo_server(network)
     sock = connect()
     network.set_fault(link, "there", 1, LinkFault("stall"))
@@ -152,7 +152,7 @@
     assert not caplog.records
 
 
-def test_the_thread_of_the_links_ends_with_them() -> None:
+def test_closing_a_network_ends_its_thread() -> None:
     before = threading.active_count()
     Network().close()
     assert threading.active_count() <= before
