--- a/cairnvane/testbed/experiments/restarts.py
+++ b/cairnvane/testbed/experiments/restarts.py
@@ -258,7 +258,7 @@
         """Clients of this server; None if it ended before it listened."""
         if not server.listens():
             return None
-        self._ready_ms.append((time.monotonic() - server.began) * 1e3)
+        self._ready_ms.append((time.monotonic() - server.started_at) * 1e3)
         try:
             return StandInBalancer(server.port)
         except OSError:  # it has ended since
--- a/cairnvane/testbed/server_process.py
+++ b/cairnvane/testbed/server_process.py
@@ -80,7 +80,7 @@
     """One process of the program, with its log lines so far."""
 
     process: subprocess.Popen[str]
-    began: float  # on the monotonic clock
+    started_at: float  # on the monotonic clock
     port: int = 0  # its listening port; 0 until it listens
     configuration: Path | None = None  # the file that it rereads on SIGHUP
     lines: list[str] = field(default_factory=list)
--- a/cairnvane/testbed/server_version.py
+++ b/cairnvane/testbed/server_version.py
@@ -42,13 +42,13 @@
     def await_ready(self) -> float | None:
         """Wait for readiness; returns the milliseconds since its start, None if it was not ready in time."""
         assert self.administration is not None
-        deadline = self.server.began + READY_TIMEOUT_S
+        deadline = self.server.started_at + READY_TIMEOUT_S
         while time.monotonic() < deadline and self.server.alive():
             requests = OperatorRequests()
             send_request(self.administration, "GET", "/-/ready", 200, requests)
             if not requests.failures:
                 self.ready = True
-                return (time.monotonic() - self.server.began) * 1e3
+                return (time.monotonic() - self.server.started_at) * 1e3
             time.sleep(READY_POLL_S)
         return None
 
