--- a/cairnvane/testbed/cluster/load.py
+++ b/cairnvane/testbed/cluster/load.py
@@ -94,10 +94,10 @@
         self._balancers: dict[tuple[int, int], StandInBalancer] = {}
         self._ended_request_ids: set[str] = set()  # of the attempts that have ended
         self._open: dict[str, Attempt] = {}  # open attempts by request id
-        self._retry_after: dict[
-            tuple[int, int], float
-        ] = {}  # by balancer and server: until when the server asked it to wait
-        self._avoid_until: dict[tuple[int, int], float] = {}  # by balancer and server: set after a disconnect
+        # By balancer and server: until when the server asked for a wait, and until when the balancer
+        # avoids the server after a disconnect.
+        self._retry_after: dict[tuple[int, int], float] = {}
+        self._avoid_until: dict[tuple[int, int], float] = {}
 
     def now(self) -> float:
         """Seconds since the load's start."""
--- a/cairnvane/testbed/cluster/observations.py
+++ b/cairnvane/testbed/cluster/observations.py
@@ -141,9 +141,7 @@
     suspected: int = 0  # suspicions of such servers
     found_s: list[float] = field(default_factory=list)  # detection time of each killed server
     not_found: int = 0  # killed servers that some observer never detected
-    agreed_s: float | None = (
-        None  # from the load's end until all views agreed; None: they did not, or it was not expected
-    )
+    agreed_s: float | None = None  # from the load's end until all views agreed; None: not, or not expected
     kb_a_second: float = 0.0  # sent by a member to others, mean
     peak_kb: float = 0.0
     datagrams_a_second: float = 0.0
--- a/cairnvane/testbed/cluster/scenario.py
+++ b/cairnvane/testbed/cluster/scenario.py
@@ -78,7 +78,7 @@
     tries: float | None = None  # maximum mean number of attempts per request
     called_dead: int | None = None  # maximum number of failure verdicts on healthy members
     agree_within: float | None = (
-        None  # maximum seconds from the load's end until all running servers see each other
+        None  # maximum seconds from load end until all running servers see each other
     )
     found_within: float | None = None  # maximum seconds until all other running servers know of a kill
     held_up: list[str] = []  # servers that must log that their process was stalled
--- a/cairnvane/testbed/soak/drawing.py
+++ b/cairnvane/testbed/soak/drawing.py
@@ -52,9 +52,8 @@
         self._end = bounds.seconds
         is_quiet = rng.random() < QUIET_CHANCE
         self._begin = bounds.seconds / 2 if is_quiet else FIRST_FAULT_S
-        self._replaced: set[str] = (
-            set()
-        )  # servers whose process is ended: once each, so that replacements don't overlap
+        # Servers whose process is ended, each at most once so that replacements don't overlap.
+        self._replaced: set[str] = set()
 
     def _draw_time(self, duration: float = 0.0) -> float:
         latest = max(self._begin, self._end - duration)
--- a/cairnvane/testbed/soak/runner.py
+++ b/cairnvane/testbed/soak/runner.py
@@ -1,4 +1,4 @@
-"""Plays the scenarios of many seeds, some at a time, and reports what fell short."""
+"""Runs the scenarios of many seeds, several at a time, and reports the broken rules."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     faults: list[str]
     broken_rules: list[str]
     verdict: dict[str, Any]
-    folder: str = ""  # with the logs and the record of events, if they were kept
+    folder: str = ""  # contains the logs and the event log, if they were kept
 
     @property
     def good(self) -> bool:
@@ -49,13 +49,13 @@
 
 @dataclass
 class SoakReport:
-    """All seeds, in the order in which they ended."""
+    """Results of all seeds, in the order of completion."""
 
     results: list[SeedResult] = field(default_factory=list)
 
     @property
     def good(self) -> bool:
-        """Whether all rules held with all seeds."""
+        """Whether all rules held for all seeds."""
         return all(result.good for result in self.results)
 
     def as_json(self) -> dict[str, Any]:
@@ -70,7 +70,7 @@
 
 
 def broken_rules(verdict: Verdict) -> list[str]:
-    """The rules that a run broke, and what else no server may do."""
+    """Names and counts of the rules that a run broke, and its troubles, such as alarms in log lines."""
     counts = {
         "lost": verdict.lost,
         "run twice": verdict.twice,
@@ -84,18 +84,18 @@
     return [f"{name} {count}" for name, count in counts.items() if count] + verdict.trouble
 
 
-def play_seed(seed: int, bounds: Bounds, keep: Path | None, mutant: str = "") -> SeedResult:
-    """Play one seed. Its folder is kept below `keep` if a rule was broken; without `keep` nothing is kept."""
+def run_seed(seed: int, bounds: Bounds, keep: Path | None, mutant: str = "") -> SeedResult:
+    """Run one seed. If a rule was broken, its files are copied to a folder below `keep`, if given."""
     scenario = draw(seed, bounds)
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as name:
         folder = Path(name)
         play = Play(scenario, seed, folder, events=folder / EVENTS_FILE, mutant=mutant)
         verdict = play.run()
-        rules = broken_rules(verdict)
+        broken = broken_rules(verdict)
         kept = ""
-        if rules and keep is not None:
+        if broken and keep is not None:
             kept = str(_keep(play, verdict, folder, keep / f"seed-{seed}"))
-    return SeedResult(seed, sorted({fault.do for fault in scenario.faults}), rules, verdict.as_json(), kept)
+    return SeedResult(seed, sorted({fault.do for fault in scenario.faults}), broken, verdict.as_json(), kept)
 
 
 def _keep(play: Play, verdict: Verdict, folder: Path, target: Path) -> Path:
@@ -116,22 +116,22 @@
     mutant: str = "",
     say: Callable[[str], None] = lambda line: None,
 ) -> SoakReport:
-    """Play the seeds, `parallel` at a time; `say` is called with a line for each."""
+    """Run the seeds, `parallel` at a time; `say` is called with a line for each result."""
     report = SoakReport()
-    for result in _results(seeds, bounds, parallel, keep, mutant):
+    for result in _run_seeds(seeds, bounds, parallel, keep, mutant):
         report.results.append(result)
         say(result.line())
     return report
 
 
-def _results(
+def _run_seeds(
     seeds: Sequence[int], bounds: Bounds, parallel: int, keep: Path | None, mutant: str
 ) -> Iterator[SeedResult]:
     if parallel == 1:
         for seed in seeds:
-            yield play_seed(seed, bounds, keep, mutant)
+            yield run_seed(seed, bounds, keep, mutant)
         return
     with ProcessPoolExecutor(parallel) as workers:
-        futures = [workers.submit(play_seed, seed, bounds, keep, mutant) for seed in seeds]
+        futures = [workers.submit(run_seed, seed, bounds, keep, mutant) for seed in seeds]
         for future in as_completed(futures):
             yield future.result()
--- a/tests/testbed/test_soak.py
+++ b/tests/testbed/test_soak.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_no_rule_is_broken_in_a_short_soak(seed: int) -> None:
-    result = runner.play_seed(seed, SHORT_BOUNDS, keep=None)
+    result = runner.run_seed(seed, SHORT_BOUNDS, keep=None)
     assert result.good, result.line()
 
 
