--- a/cairnvane/cli/lab.py
+++ b/cairnvane/cli/lab.py
@@ -244,7 +244,7 @@
     """
     from ..config import ConfigurationError
     from ..testbed.cluster import scenario_file as scenarios
-    from ..testbed.cluster.scenario_run import Play
+    from ..testbed.cluster.scenario_run import ScenarioRun
     from ..testbed.cluster.schedule import draw
 
     try:
@@ -258,7 +258,7 @@
         return
     click.echo(f"{plan.name}: {plan.servers} servers, {plan.seconds:g} s, seed {seed}", err=True)
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as folder:
-        report = Play(plan, seed, Path(folder), events=events, say=_print_progress).run()
+        report = ScenarioRun(plan, seed, Path(folder), events=events, say=_print_progress).run()
     _finish(report, json_file)
 
 
--- a/cairnvane/testbed/cluster/scenario_run.py
+++ b/cairnvane/testbed/cluster/scenario_run.py
@@ -100,7 +100,7 @@
     return "broken" if status == DISCONNECTED else "failed"
 
 
-class Play:
+class ScenarioRun:
     """One run of a scenario."""
 
     def __init__(
--- a/cairnvane/testbed/experiments/overload.py
+++ b/cairnvane/testbed/experiments/overload.py
@@ -18,7 +18,7 @@
 
 from ..cluster.checker import Verdict
 from ..cluster.scenario import Fault, Load, Scenario, Servers, Vault
-from ..cluster.scenario_run import Play
+from ..cluster.scenario_run import ScenarioRun
 
 BEFORE_S = 8.0
 DURING_S = 6.0
@@ -177,6 +177,6 @@
             report.rows.append(row)
             for seed in seeds:
                 with tempfile.TemporaryDirectory(prefix="cairnvane-lab-") as folder:
-                    row.verdicts.append(Play(scenario(kind, servers), seed, Path(folder)).run())
+                    row.verdicts.append(ScenarioRun(scenario(kind, servers), seed, Path(folder)).run())
             say(row.line())
     return report
--- a/cairnvane/testbed/soak/runner.py
+++ b/cairnvane/testbed/soak/runner.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ..cluster.checker import Verdict
-from ..cluster.scenario_run import Play
+from ..cluster.scenario_run import ScenarioRun
 from .drawing import Bounds, draw
 
 FOLDER_PREFIX = "cairnvane-soak-"
@@ -89,17 +89,17 @@
     scenario = draw(seed, bounds)
     with tempfile.TemporaryDirectory(prefix=FOLDER_PREFIX) as name:
         folder = Path(name)
-        play = Play(scenario, seed, folder, events=folder / EVENTS_FILE, mutant=mutant)
-        verdict = play.run()
+        scenario_run = ScenarioRun(scenario, seed, folder, events=folder / EVENTS_FILE, mutant=mutant)
+        verdict = scenario_run.run()
         broken = broken_rules(verdict)
         kept = ""
         if broken and keep is not None:
-            kept = str(_keep(play, verdict, folder, keep / f"seed-{seed}"))
+            kept = str(_keep(scenario_run, verdict, folder, keep / f"seed-{seed}"))
     return SeedResult(seed, sorted({fault.do for fault in scenario.faults}), broken, verdict.as_json(), kept)
 
 
-def _keep(play: Play, verdict: Verdict, folder: Path, target: Path) -> Path:
-    for node in play.nodes:
+def _keep(scenario_run: ScenarioRun, verdict: Verdict, folder: Path, target: Path) -> Path:
+    for node in scenario_run.nodes:
         for number, version in enumerate(node.versions):
             (folder / f"{node.name}-{number}.log").write_text("\n".join(version.server.lines) + "\n")
     (folder / VERDICT_FILE).write_text(json.dumps(verdict.as_json(), indent=1) + "\n")
