--- a/benchmarks/keyed_latency.py
+++ b/benchmarks/keyed_latency.py
@@ -54,7 +54,7 @@
     """Run one process under load; responses that did not serve, CPU seconds, commits."""
     durability, store = VARIANTS[variant]
     vault, roster = StandInVault(), StandInRoster()
-    site = server_process.Site(
+    site = server_process.ServerConfiguration(
         folder,
         pool,
         vault.address,
@@ -66,7 +66,7 @@
     process = subprocess.Popen(
         [sys.executable, str(HERE / "keyed_server.py")], env=environment, stderr=subprocess.PIPE, text=True
     )
-    server = server_process.Life(process, time.monotonic())
+    server = server_process.ServerProcess(process, time.monotonic())
     threading.Thread(target=server.watch, daemon=True).start()
     assert server.listens(), server.lines
     balancer = StandInBalancer(server.port)
--- a/benchmarks/members_real.py
+++ b/benchmarks/members_real.py
@@ -41,7 +41,7 @@
 
 def start(
     folder: Path, members: bool, ports: list[int]
-) -> tuple[list[server_process.Site], list[server_process.Life]]:
+) -> tuple[list[server_process.ServerConfiguration], list[server_process.ServerProcess]]:
     vault, roster = StandInVault(), StandInRoster()
     sites, lives = [], []
     for number, port in enumerate(ports):
@@ -56,7 +56,7 @@
         path = folder / f"{members}{number}"
         path.mkdir()
         sites.append(
-            server_process.Site(
+            server_process.ServerConfiguration(
                 path,
                 StandInPool(number).address,
                 vault.address,
@@ -77,7 +77,7 @@
     return found is not None and found.event == event and member in (None, found.member)
 
 
-def all_logged(lives: list[server_process.Life], but: int, event: str, since: list[int]) -> bool:
+def all_logged(lives: list[server_process.ServerProcess], but: int, event: str, since: list[int]) -> bool:
     return all(
         any(has_event(line, event, f"n{but}") for line in life.lines[since[number] :])
         for number, life in enumerate(lives)
@@ -85,7 +85,7 @@
     )
 
 
-def cpu_usage(lives: list[server_process.Life]) -> list[float]:
+def cpu_usage(lives: list[server_process.ServerProcess]) -> list[float]:
     before = [cpu_s(life.process.pid) for life in lives]
     time.sleep(IDLE_S)
     return [(cpu_s(life.process.pid) - was) / IDLE_S for life, was in zip(lives, before, strict=True)]
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -43,7 +43,7 @@
     """Run one process of that checkout's program under load."""
     vault, roster = StandInVault(), StandInRoster()
     with tempfile.TemporaryDirectory() as folder:
-        site = server_process.Site(Path(folder), pool, vault.address, roster.address, SETTINGS)
+        site = server_process.ServerConfiguration(Path(folder), pool, vault.address, roster.address, SETTINGS)
         program = (
             "import os, sys; os.sched_setaffinity(0, {max(os.sched_getaffinity(0))}); "
             "from cairnvane.__main__ import main; sys.exit(main())"
@@ -55,7 +55,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        server = server_process.Life(process, time.monotonic())
+        server = server_process.ServerProcess(process, time.monotonic())
         threading.Thread(target=server.watch, daemon=True).start()
         assert server.listens(), server.lines
         balancer = StandInBalancer(server.port)
--- a/cairnvane/testbed/cluster/nodes.py
+++ b/cairnvane/testbed/cluster/nodes.py
@@ -184,8 +184,8 @@
         operator = scenario.operator + members
         return _Slot(f"-{number}", pool, f"{HOST}:{link.port}", operator or None)
 
-    def _create_configuration(self, folder: Path) -> server_process.Site:
-        return server_process.Site(
+    def _create_configuration(self, folder: Path) -> server_process.ServerConfiguration:
+        return server_process.ServerConfiguration(
             folder,
             "",
             f"{HOST}:{self.links['vault'][0].port}",
--- a/cairnvane/testbed/experiments/restarts.py
+++ b/cairnvane/testbed/experiments/restarts.py
@@ -141,7 +141,7 @@
         self._pool = StandInPool(seed, calls=frozenset({KEYED_CLASS}))
         self._vault = StandInVault()
         self._roster = StandInRoster()
-        self._site = server_process.Site(
+        self._site = server_process.ServerConfiguration(
             folder,
             self._pool.address,
             self._vault.address,
@@ -216,7 +216,7 @@
 
     def _load_until_kill(
         self,
-        server: server_process.Life,
+        server: server_process.ServerProcess,
         balancer: StandInBalancer,
         quota: int,
         step: str,
@@ -254,7 +254,7 @@
             self._trouble.append(f"the last life ended with status {status}")
         self._record_server(server)
 
-    def _connect(self, server: server_process.Life) -> StandInBalancer | None:
+    def _connect(self, server: server_process.ServerProcess) -> StandInBalancer | None:
         """Clients of this server; None if it ended before it listened."""
         if not server.listens():
             return None
@@ -264,7 +264,7 @@
         except OSError:  # it has ended since
             return None
 
-    def _record_server(self, server: server_process.Life) -> None:
+    def _record_server(self, server: server_process.ServerProcess) -> None:
         if server.recovery_ms is not None:
             self._recovery_ms.append(server.recovery_ms)
         self._trouble += [line for line in server.lines if is_alarm(line)]
--- a/cairnvane/testbed/experiments/upgrades.py
+++ b/cairnvane/testbed/experiments/upgrades.py
@@ -162,9 +162,9 @@
         self._load: UpgradeLoad | None = None
         self._over = threading.Event()
 
-    def _create_site(self, durability: str) -> server_process.Site:
+    def _create_site(self, durability: str) -> server_process.ServerConfiguration:
         operator = operator_file(durability, disk_mb=64) if durability != "memory" else None
-        return server_process.Site(
+        return server_process.ServerConfiguration(
             self._folder,
             "",
             self._vault.address,
--- a/cairnvane/testbed/server_process.py
+++ b/cairnvane/testbed/server_process.py
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Site:
+class ServerConfiguration:
     """Configuration of a server, and the folder to which its files are written.
 
     `pool`, `vault` and `roster` are the addresses of the worker pool, the dependency and the service
@@ -76,7 +76,7 @@
 
 
 @dataclass
-class Life:
+class ServerProcess:
     """One process of the program, with its log lines so far."""
 
     process: subprocess.Popen[str]
@@ -152,12 +152,14 @@
         return self.process.wait(wait_s)
 
 
-def start(site: Site, kill: str = "", mutant: str = "", clock_s: float = 0.0) -> Life:
+def start(
+    configuration: ServerConfiguration, kill: str = "", mutant: str = "", clock_s: float = 0.0
+) -> ServerProcess:
     """Start the instrumented server; `instrumented_server` describes `kill`, `mutant` and `clock_s`."""
     environment = {
         name: value for name, value in os.environ.items() if not name.startswith(_SERVER_VARIABLE_PREFIXES)
     }
-    environment |= site.write()
+    environment |= configuration.write()
     environment |= {
         instrumented_server.KILL_VARIABLE: kill,
         instrumented_server.MUTANT_VARIABLE: mutant,
@@ -170,6 +172,6 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    server = Life(process, time.monotonic(), configuration=Path(environment["LB_CONFIG"]))
+    server = ServerProcess(process, time.monotonic(), configuration=Path(environment["LB_CONFIG"]))
     threading.Thread(target=server.watch, name="server log reader", daemon=True).start()
     return server
--- a/cairnvane/testbed/server_version.py
+++ b/cairnvane/testbed/server_version.py
@@ -34,7 +34,7 @@
 class ServerVersion:
     """One process with its stand-in worker pool and the address of its administration endpoint."""
 
-    server: server_process.Life
+    server: server_process.ServerProcess
     pool: StandInPool
     administration: tuple[str, int] | None
     ready: bool = False
@@ -77,7 +77,7 @@
 
 
 def start(
-    site: server_process.Site,
+    configuration: server_process.ServerConfiguration,
     pool: StandInPool,
     pool_address: str,
     administration: tuple[str, int] | None,
@@ -92,6 +92,8 @@
     """
     control = None if administration is None else "{}:{}".format(*administration)
     server = server_process.start(
-        replace(site, pool=pool_address, control=control, label=label), mutant=mutant, clock_s=clock_s
+        replace(configuration, pool=pool_address, control=control, label=label),
+        mutant=mutant,
+        clock_s=clock_s,
     )
     return ServerVersion(server, pool, administration)
--- a/tests/membership/test_member_processes.py
+++ b/tests/membership/test_member_processes.py
@@ -39,11 +39,11 @@
 
     folder: Path
     admin_addresses: list[str] = field(default_factory=list)
-    lives: list[server_process.Life] = field(default_factory=list)
+    lives: list[server_process.ServerProcess] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.vault, self.roster, self.ports = StandInVault(), StandInRoster(), list[int]()
-        self.sites: list[server_process.Site] = []
+        self.sites: list[server_process.ServerConfiguration] = []
 
     def add(self) -> None:
         number = len(self.sites)
@@ -57,7 +57,7 @@
         path = self.folder / f"n{number}"
         path.mkdir()
         self.sites.append(
-            server_process.Site(
+            server_process.ServerConfiguration(
                 path,
                 pool.address,
                 self.vault.address,
--- a/tests/testbed/test_server_process.py
+++ b/tests/testbed/test_server_process.py
@@ -41,8 +41,10 @@
 from cairnvane.testbed.cluster.nodes import settings
 from cairnvane.testbed.cluster.scenario import Scenario
 unused = "127.0.0.1:1"
-site = server_process.Site(Path(sys.argv[1]), unused, unused, unused, settings(Scenario("a")))
-server = server_process.start(site)
+configuration = server_process.ServerConfiguration(
+    Path(sys.argv[1]), unused, unused, unused, settings(Scenario("a"))
+)
+server = server_process.start(configuration)
 assert server.listens()
 print(server.process.pid, flush=True)
 time.sleep(60)
