--- a/cairnvane/testbed/stand_ins/crowding.py
+++ b/cairnvane/testbed/stand_ins/concurrency_history.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class Crowding:
+class ConcurrencyHistory:
     """A count, recorded at each change. Times are seconds of one monotonic clock."""
 
     _times: list[float] = field(default_factory=list)
--- a/cairnvane/testbed/stand_ins/vault.py
+++ b/cairnvane/testbed/stand_ins/vault.py
@@ -8,7 +8,7 @@
 import time
 from collections import Counter
 
-from .crowding import Crowding
+from .concurrency_history import ConcurrencyHistory
 from .sockets import Listener, read_http
 
 # After a breakdown under overload the vault rejects all calls for this time.
@@ -45,7 +45,7 @@
         self.down = False  # fault: calls are rejected without having run
         self.silent = False  # fault: calls are accepted and never answered
         self.garbled_share = 0.0  # fault: fraction of malformed replies, each of which ends its connection
-        self.in_flight_history = Crowding()  # calls in flight over time
+        self.in_flight_history = ConcurrencyHistory()  # calls in flight over time
         self._random = random.Random(took_s)
         self.in_flight = 0
         self.max_in_flight = 0
--- a/cairnvane/testbed/stand_ins/worker_pool.py
+++ b/cairnvane/testbed/stand_ins/worker_pool.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from .crowding import Crowding
+from .concurrency_history import ConcurrencyHistory
 from .sockets import Listener, shut
 
 # Number of notices that the protocol keeps for a reconnecting link.
@@ -68,7 +68,7 @@
         """`work_ms` and `result_bytes` are the bounds of the drawn values."""
         self.records: dict[bytes, RunRecord] = {}
         self.max_runnable = 0  # maximum number of runnable runs at a time
-        self.runnable_history = Crowding()
+        self.runnable_history = ConcurrencyHistory()
         # Whether a request, by its id, has been answered or has timed out, so that no run may begin for it.
         self.is_over: Callable[[str], bool] = lambda uid: False
         self.repeated_spawns = 0  # spawns of runs that were in progress
--- a/tests/testbed/test_frozen_pool.py
+++ b/tests/testbed/test_frozen_pool.py
@@ -12,7 +12,7 @@
 from peers import WAIT_S
 
 from cairnvane.testbed.cluster import scenario_file, schedule
-from cairnvane.testbed.stand_ins.crowding import Crowding
+from cairnvane.testbed.stand_ins.concurrency_history import ConcurrencyHistory
 from cairnvane.testbed.stand_ins.worker_pool import StandInPool
 
 
@@ -107,7 +107,7 @@
 def test_the_highest_mean_of_any_window_is_found(
     changes: list[tuple[float, int]], window_s: float, until: float, mean: float
 ) -> None:
-    history = Crowding()
+    history = ConcurrencyHistory()
     for at, runnable in changes:
         history.record(at, runnable)
     assert history.highest_mean(window_s, until) == pytest.approx(mean)
