--- a/cairnvane/testbed/experiments/restarts.py
+++ b/cairnvane/testbed/experiments/restarts.py
@@ -142,7 +142,7 @@
         self._pool = StandInPool(seed, calls=frozenset({KEYED_CLASS}))
         self._vault = StandInVault()
         self._roster = StandInRoster()
-        self._site = server_process.Site(
+        self._site = server_process.ServerConfiguration(
             folder,
             self._pool.address,
             self._vault.address,
@@ -217,7 +217,7 @@
 
     def _load_until_kill(
         self,
-        server: server_process.Life,
+        server: server_process.ServerProcess,
         balancer: StandInBalancer,
         quota: int,
         step: str,
@@ -255,17 +255,17 @@
             self._trouble.append(f"the last incarnation ended with status {status}")
         self._record_server(server)
 
-    def _connect(self, server: server_process.Life) -> StandInBalancer | None:
+    def _connect(self, server: server_process.ServerProcess) -> StandInBalancer | None:
         """Connect clients to this server; None if it ended before it accepted connections."""
         if not server.listens():
             return None
-        self._ready_ms.append((time.monotonic() - server.began) * 1e3)
+        self._ready_ms.append((time.monotonic() - server.started_at) * 1e3)
         try:
             return StandInBalancer(server.port)
         except OSError:  # the server has ended in the meantime
             return None
 
-    def _record_server(self, server: server_process.Life) -> None:
+    def _record_server(self, server: server_process.ServerProcess) -> None:
         if server.recovery_ms is not None:
             self._recovery_ms.append(server.recovery_ms)
         self._trouble += [line for line in server.lines if is_alarm(line)]
