--- a/cairnvane/testbed/cluster/nodes.py
+++ b/cairnvane/testbed/cluster/nodes.py
@@ -212,8 +212,8 @@
     def _running(self) -> list[ServerVersion]:
         return [version for version in self.versions if version.server.alive()]
 
-    def _add_trouble(self, version: ServerVersion, what: str, last_lines: int) -> None:
-        self.trouble.append(f"{self.name} {what}: " + " | ".join(version.server.lines[-last_lines:]))
+    def _add_trouble(self, version: ServerVersion, problem: str, last_lines: int) -> None:
+        self.trouble.append(f"{self.name} {problem}: " + " | ".join(version.server.lines[-last_lines:]))
 
     # --- starts
 
@@ -317,10 +317,10 @@
         for version in self._running():
             version.server.process.send_signal(signal.SIGTERM)
 
-    def order(self, what: str, seconds: float) -> None:
+    def order(self, fault: str, seconds: float) -> None:
         """Inject a fault into all processes, one of `instrumented_server.FAULTS`."""
         for version in self._running():
-            version.server.order(self._configuration.folder, what, seconds)
+            version.server.order(self._configuration.folder, fault, seconds)
 
     def reload(self, torn: bool) -> None:
         """Send SIGHUP to all processes; `torn`: the file holds half of the configuration meanwhile."""
--- a/cairnvane/testbed/cluster/scenario_run.py
+++ b/cairnvane/testbed/cluster/scenario_run.py
@@ -341,7 +341,7 @@
         up = [node.up for node in self.nodes]
         self._event("second", **outcomes, up=up, vault=self._vault.in_flight)
 
-    # --- the end
+    # --- completion
 
     def _agreement_s(self) -> float | None:
         """Seconds until all running servers see each other; None if that exceeds the expected time."""
